--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -29,21 +29,22 @@
   std::string_view bytes_;
 };
 
-std::string_view tail_part(std::string_view tail, std::uint64_t from, std::uint64_t length) {
-  if (from > tail.size() || length > tail.size() - from) throw BadInput("an offset points outside the tail");
+std::string_view tail_slice(std::string_view tail, std::uint64_t from, std::uint64_t length) {
+  if (from > tail.size() || length > tail.size() - from)
+    throw InputError("an offset points outside the tail");
   return tail.substr(from, length);
 }
 
-Time time_of(std::uint64_t value) {
+Time parse_time(std::uint64_t value) {
   if (value > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
-    throw BadInput("a time is out of range");
+    throw InputError("a time is out of range");
   }
   return Time(static_cast<std::int64_t>(value));
 }
 
-Outcome outcome_of(std::uint16_t code) {
+Outcome parse_outcome(std::uint16_t code) {
   if (code > static_cast<std::uint16_t>(Outcome::not_sent)) {
-    throw BadInput("unknown outcome code " + std::to_string(code));
+    throw InputError("unknown outcome code " + std::to_string(code));
   }
   return static_cast<Outcome>(code);
 }
@@ -58,75 +59,76 @@
     e.rate = f.f32(3);
     e.endpoint = f.u32(7);
     std::uint8_t condition = f.u8(11);
-    if (condition > 2) throw BadInput("unknown condition of a list entry");
+    if (condition > 2) throw InputError("unknown condition of a list entry");
     e.condition = static_cast<starlinghook::Condition>(condition);
     e.destination = f.u16(20);
-    if (!std::isfinite(e.rate) || e.rate < 0) throw BadInput("a list entry has no valid rate");
+    if (!std::isfinite(e.rate) || e.rate < 0) throw InputError("a list entry has no valid rate");
     entries.push_back(e);
   }
   return entries;
 }
 
-void read_stats(const Fields& f, std::size_t at, EventRecord& r) {
+void decode_stats(const Fields& f, std::size_t at, EventRecord& r) {
   r.stat_count = f.u8(at);
-  if (r.stat_count > r.stats.size()) throw BadInput("a load report has too many values");
+  if (r.stat_count > r.stats.size()) throw InputError("a load report has too many values");
   for (std::size_t i = 0; i < r.stats.size(); ++i) r.stats[i] = f.f32(at + 1 + 4 * i);
 }
 
 EventRecord decode_event(const Fields& f, std::string_view tail) {
   EventRecord r;
   std::uint8_t code = f.u8(0);
-  if (code < 16 || code > 26) throw BadInput("unknown event code " + std::to_string(code));
+  if (code < 16 || code > 26) throw InputError("unknown event code " + std::to_string(code));
   r.code = static_cast<EventCode>(code);
   r.instance = f.u16(1);
   switch (r.code) {
     case EventCode::health_result:
       r.ended.endpoint = f.u32(3);
-      r.ended.outcome = outcome_of(f.u16(7));
-      read_stats(f, 13, r);
+      r.ended.outcome = parse_outcome(f.u16(7));
+      decode_stats(f, 13, r);
       break;
     case EventCode::ended:
       r.message = r.ended.id = f.u64(3);
       r.ended.attempt = f.u8(11);
       r.ended.endpoint = f.u32(12);
-      r.ended.outcome = outcome_of(f.u16(16));
+      r.ended.outcome = parse_outcome(f.u16(16));
       r.ended.finished = f.u8(22) != 0;
-      if (r.ended.outcome == Outcome::full) r.ended.told_wait = std::chrono::milliseconds(f.u32(23));
+      if (r.ended.outcome == Outcome::full) r.ended.retry_after = std::chrono::milliseconds(f.u32(23));
       r.ended.no_slot = r.ended.outcome == Outcome::not_sent && f.u32(23) == 1;
-      read_stats(f, 27, r);
+      decode_stats(f, 27, r);
       break;
     case EventCode::list:
       r.list_number = f.u16(1);
-      if (r.list_number >= kListNumbers) throw BadInput("a list number is out of range");
-      r.entries = decode_entries(tail_part(tail, f.u32(3), std::uint64_t{f.u32(7)} * kEntrySize));
+      if (r.list_number >= kMaxLists) throw InputError("a list number is out of range");
+      r.entries = decode_entries(tail_slice(tail, f.u32(3), std::uint64_t{f.u32(7)} * kEntrySize));
       break;
     case EventCode::inbox:
       r.sender = f.u32(3);
-      r.text = tail_part(tail, f.u32(7), f.u32(11));
+      r.text = tail_slice(tail, f.u32(7), f.u32(11));
       break;
     case EventCode::wake:
       r.label = f.u64(3);
       break;
     case EventCode::order: {
-      r.message = r.order.id = f.u64(3);
-      r.order.message_class = f.u8(11);
-      r.order.tenant = f.u32(12);
-      r.order.key = f.u64(16);
-      r.order.time_left = Time(f.u32(24));
+      r.message = r.arrival.id = f.u64(3);
+      r.arrival.message_class = f.u8(11);
+      r.arrival.tenant = f.u32(12);
+      r.arrival.key = f.u64(16);
+      r.arrival.time_left = Time(f.u32(24));
       float destination = f.f32(32);
-      if (!(destination >= 0 && destination <= 65535)) throw BadInput("a message names no valid destination");
-      r.order.destination = static_cast<starlinghook::DestinationId>(destination);
+      if (!(destination >= 0 && destination <= 65535))
+        throw InputError("a message names no valid destination");
+      r.arrival.destination = static_cast<starlinghook::DestinationId>(destination);
       break;
     }
     case EventCode::kill:
       break;
     case EventCode::roster_change: {
       std::uint8_t form = f.u8(3);
-      if (form > 3) throw BadInput("unknown form of a list change");
+      if (form > 3) throw InputError("unknown form of a list change");
       r.form = static_cast<RosterForm>(form);
       r.list_number = f.u16(4);
-      if (r.form != RosterForm::failed && r.list_number >= kListNumbers) {
-        throw BadInput("a list number is out of range");
+      if (r.form != RosterForm::failed && r.list_number >= kMaxLists) {
+        throw InputError("a list number is out of range");
       }
       break;
     }
@@ -136,7 +138,7 @@
       break;
     case EventCode::new_instance:
       r.salt = f.u64(3);
-      r.text = tail_part(tail, f.u32(11), f.u32(15));
+      r.text = tail_slice(tail, f.u32(11), f.u32(15));
       break;
     case EventCode::dropped:
       r.message = f.u64(3);
@@ -145,12 +147,12 @@
   return r;
 }
 
-void put(std::string& out, std::uint64_t value, std::size_t width) {
+void append_big_endian(std::string& out, std::uint64_t value, std::size_t width) {
   for (std::size_t i = width; i-- > 0;) out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 
 // A span that must fit 32 bits: more is cut to the longest that can be said, less than nothing is nothing.
-std::uint32_t span_of(Time t) {
+std::uint32_t saturated_span(Time t) {
   if (t.count() <= 0) return 0;
   if (t.count() > std::numeric_limits<std::uint32_t>::max()) return std::numeric_limits<std::uint32_t>::max();
   return static_cast<std::uint32_t>(t.count());
@@ -160,19 +162,19 @@
 class Record {
  public:
   Record(std::string& out, ActionCode code, std::uint16_t instance) : out_(out), start_(out.size()) {
-    put(out_, static_cast<std::uint8_t>(code), 1);
-    put(out_, instance, 2);
+    append_big_endian(out_, static_cast<std::uint8_t>(code), 1);
+    append_big_endian(out_, instance, 2);
   }
   Record(const Record&) = delete;
   Record& operator=(const Record&) = delete;
   ~Record() { out_.resize(start_ + kActionSize, '\0'); }
   Record& field(std::uint64_t value, std::size_t width) {
-    put(out_, value, width);
+    append_big_endian(out_, value, width);
     return *this;
   }
   Record& tail(std::string& tail, std::string_view bytes) {
-    put(out_, tail.size(), 4);
-    put(out_, bytes.size(), 4);
+    append_big_endian(out_, tail.size(), 4);
+    append_big_endian(out_, bytes.size(), 4);
     tail.append(bytes);
     return *this;
   }
@@ -191,54 +193,58 @@
 
 std::size_t frame_length(std::string_view start) {
   std::size_t length = Fields(start).u32(0);
-  if (length < kBatchHeader) throw BadInput("a frame is shorter than its header");
+  if (length < kBatchHeaderSize) throw InputError("a frame is shorter than its header");
   return length;
 }
 
 Batch decode_batch(std::string_view frame) {
-  if (frame.size() < kBatchHeader || frame_length(frame) != frame.size()) {
-    throw BadInput("a frame is truncated or of another length than it says");
+  if (frame.size() < kBatchHeaderSize || frame_length(frame) != frame.size()) {
+    throw InputError("a frame is truncated or of another length than it says");
   }
   Fields header(frame);
   std::uint64_t count = header.u32(4);
-  if (count > (frame.size() - kBatchHeader) / kEventSize)
-    throw BadInput("a frame is too short for its records");
+  if (count > (frame.size() - kBatchHeaderSize) / kEventSize)
+    throw InputError("a frame is too short for its records");
   Batch batch;
-  batch.clock = time_of(header.u64(8));
-  std::string_view tail = frame.substr(kBatchHeader + count * kEventSize);
+  batch.clock = parse_time(header.u64(8));
+  std::string_view tail = frame.substr(kBatchHeaderSize + count * kEventSize);
   batch.events.reserve(count);
   for (std::uint64_t i = 0; i < count; ++i) {
     batch.events.push_back(
-        decode_event(Fields(frame.substr(kBatchHeader + i * kEventSize, kEventSize)), tail));
+        decode_event(Fields(frame.substr(kBatchHeaderSize + i * kEventSize, kEventSize)), tail));
   }
   return batch;
 }
 
 void ReplyWriter::add(std::uint16_t instance, const starlinghook::Action& action) {
   auto record = [&](ActionCode code) { return Record(records_, code, instance); };
-  std::visit(
-      Overload{
-          [&](const starlinghook::Send& a) {
-            record(ActionCode::hand_off).field(a.id, 8).field(a.endpoint, 4).field(span_of(a.timeout), 4);
-          },
-          [&](const starlinghook::Refuse& a) {
-            record(ActionCode::reject).field(a.id, 8).field(span_of(a.return_after), 4);
-          },
-          [&](const starlinghook::Fail& a) { record(ActionCode::end_failed).field(a.id, 8); },
-          [&](const starlinghook::Cancel& a) {
-            record(ActionCode::retract).field(a.id, 8).field(a.attempt, 1);
-          },
-          [&](const starlinghook::Probe& a) { record(ActionCode::sound_out).field(a.endpoint, 4); },
-          [&](const starlinghook::CloseIdle& a) { record(ActionCode::release).field(a.endpoint, 4); },
-          [&](const starlinghook::SetTimer& a) {
-            auto at = static_cast<std::uint64_t>(a.at.count() < 0 ? 0 : a.at.count());
-            record(ActionCode::after).field(at, 8).field(a.label, 8);
-          },
-          [&](const starlinghook::WatchList&) { record(ActionCode::watch).field(1, 1); },
-          [&](const starlinghook::FetchList&) { record(ActionCode::list_all); },
-          [&](const starlinghook::LogLine& a) { record(ActionCode::say_log).tail(tail_, a.text); },
-      },
-      action);
+  std::visit(Overload{
+                 [&](const starlinghook::Send& a) {
+                   record(ActionCode::hand_off)
+                       .field(a.id, 8)
+                       .field(a.endpoint, 4)
+                       .field(saturated_span(a.timeout), 4);
+                 },
+                 [&](const starlinghook::Refuse& a) {
+                   record(ActionCode::reject).field(a.id, 8).field(saturated_span(a.retry_after), 4);
+                 },
+                 [&](const starlinghook::Fail& a) { record(ActionCode::end_failed).field(a.id, 8); },
+                 [&](const starlinghook::Cancel& a) {
+                   record(ActionCode::retract).field(a.id, 8).field(a.attempt, 1);
+                 },
+                 [&](const starlinghook::Probe& a) { record(ActionCode::sound_out).field(a.endpoint, 4); },
+                 [&](const starlinghook::CloseIdleConnections& a) {
+                   record(ActionCode::release).field(a.endpoint, 4);
+                 },
+                 [&](const starlinghook::SetTimer& a) {
+                   auto at = static_cast<std::uint64_t>(a.at.count() < 0 ? 0 : a.at.count());
+                   record(ActionCode::after).field(at, 8).field(a.label, 8);
+                 },
+                 [&](const starlinghook::WatchList&) { record(ActionCode::watch).field(1, 1); },
+                 [&](const starlinghook::FetchList&) { record(ActionCode::list_all); },
+                 [&](const starlinghook::LogMessage& a) { record(ActionCode::say_log).tail(tail_, a.text); },
+             },
+             action);
   ++count_;
 }
 
@@ -249,8 +255,8 @@
 
 std::string ReplyWriter::finish() {
   std::string frame;
-  put(frame, kReplyHeader + records_.size() + tail_.size(), 4);
-  put(frame, count_, 4);
+  append_big_endian(frame, kReplyHeaderSize + records_.size() + tail_.size(), 4);
+  append_big_endian(frame, count_, 4);
   frame += records_;
   frame += tail_;
   records_.clear();
--- a/adapter/instances.cpp
+++ b/adapter/instances.cpp
@@ -5,7 +5,7 @@
 namespace wire {
 namespace {
 
-starlinghook::LoadReport load_report(const EventRecord& r, const BootInfo& boot) {
+starlinghook::LoadReport load_report(const EventRecord& r, const InstanceSettings& boot) {
   starlinghook::LoadReport report;
   if (r.stat_count == 0 || !boot.settings.reports_allowance) return report;
   if (boot.allowance_field >= r.stat_count || boot.limit_field >= r.stat_count) return report;
@@ -17,12 +17,13 @@
 
 }  // namespace
 
-bool Instances::to_event(const EventRecord& r, const BootInfo& boot, starlinghook::Event& event) const {
+bool Instances::to_event(const EventRecord& r, const InstanceSettings& boot,
+                         starlinghook::Event& event) const {
   switch (r.code) {
     case EventCode::order:
-      if (r.order.message_class >= boot.settings.classes.size())
-        throw BadInput("a message of an unknown class");
-      event = r.order;
+      if (r.arrival.message_class >= boot.settings.classes.size())
+        throw InputError("a message of an unknown class");
+      event = r.arrival;
       return true;
     case EventCode::dropped:
       event = starlinghook::MessageDropped{r.message};
@@ -34,7 +35,7 @@
       return true;
     }
     case EventCode::health_result:
-      event = starlinghook::ProbeEnded{r.ended.endpoint, r.ended.outcome, r.ended.told_wait,
+      event = starlinghook::ProbeEnded{r.ended.endpoint, r.ended.outcome, r.ended.retry_after,
                                        load_report(r, boot)};
       return true;
     case EventCode::roster_change:
@@ -43,14 +44,14 @@
       } else {
         starlinghook::ListChanged change{r.form != RosterForm::delta, r.form == RosterForm::cached,
                                          lists_[r.list_number]};
-        if (!boot.rates_told) {
+        if (!boot.rates_listed) {
           for (starlinghook::EndpointEntry& entry : change.entries) entry.rate = 0;
         }
         event = std::move(change);
       }
       return true;
     case EventCode::wake:
-      event = starlinghook::TimerFired{r.label};
+      event = starlinghook::TimerExpired{r.label};
       return true;
     case EventCode::inbox:   // the module sends no notes and heeds none
     case EventCode::opened:  // the answer goes to the client by itself; nothing is decided on it
@@ -62,7 +63,7 @@
   return false;
 }
 
-void Instances::deliver(starlinghook::Time clock, const EventRecord& r) {
+void Instances::handle_event(starlinghook::Time clock, const EventRecord& r) {
   if (r.code == EventCode::list) {
     lists_[r.list_number] = r.entries;
     return;
@@ -74,18 +75,18 @@
   actions_.clear();
   try {
     if (r.code == EventCode::new_instance) {
-      BootInfo boot = parse_boot_info(r.text, r.salt);
+      InstanceSettings boot = parse_instance_settings(r.text, r.salt);
       starlinghook::Forwarder forwarder(boot.settings);
       auto instance = std::make_unique<Instance>(Instance{std::move(boot), std::move(forwarder)});
       instance->forwarder.start(clock, actions_);
       instances_[r.instance] = std::move(instance);
     } else {
       auto found = instances_.find(r.instance);
-      if (found == instances_.end()) throw BadInput("an event for an instance that is not running");
+      if (found == instances_.end()) throw InputError("an event for an instance that is not running");
       starlinghook::Event event;
       if (to_event(r, found->second->boot, event)) found->second->forwarder.handle(clock, event, actions_);
     }
-  } catch (const BadInput&) {
+  } catch (const InputError&) {
     throw;
   } catch (const std::exception& e) {
     actions_.clear();
@@ -94,9 +95,9 @@
   for (const starlinghook::Action& action : actions_) reply_.add(r.instance, action);
 }
 
-std::string Instances::play(std::string_view frame) {
+std::string Instances::process_frame(std::string_view frame) {
   Batch batch = decode_batch(frame);
-  for (const EventRecord& record : batch.events) deliver(batch.clock, record);
+  for (const EventRecord& record : batch.events) handle_event(batch.clock, record);
   return reply_.finish();
 }
 
--- a/adapter/instances.hpp
+++ b/adapter/instances.hpp
@@ -14,18 +14,18 @@
 class Instances {
  public:
   // Plays one whole frame and returns the reply frame. Throws BadInput.
-  std::string play(std::string_view frame);
+  std::string process_frame(std::string_view frame);
 
  private:
   struct Instance {
-    BootInfo boot;
+    InstanceSettings boot;
     starlinghook::Forwarder forwarder;
   };
-  void deliver(starlinghook::Time clock, const EventRecord& record);
-  bool to_event(const EventRecord& record, const BootInfo& boot, starlinghook::Event& event) const;
+  void handle_event(starlinghook::Time clock, const EventRecord& record);
+  bool to_event(const EventRecord& record, const InstanceSettings& boot, starlinghook::Event& event) const;
 
   std::map<std::uint16_t, std::unique_ptr<Instance>> instances_;
-  std::array<std::vector<starlinghook::EndpointEntry>, kListNumbers> lists_;
+  std::array<std::vector<starlinghook::EndpointEntry>, kMaxLists> lists_;
   std::vector<starlinghook::Action> actions_;
   ReplyWriter reply_;
 };
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -18,7 +18,7 @@
     into.resize(start + piece);
     std::size_t got = std::fread(into.data() + start, 1, piece, stdin);
     if (got == 0 && start == 0 && at_start) return false;
-    if (got < piece) throw wire::BadInput("the input ends inside a frame");
+    if (got < piece) throw wire::InputError("the input ends inside a frame");
     count -= piece;
   }
   return true;
@@ -31,9 +31,9 @@
     frame.clear();
     if (!read_bytes(frame, 4)) return 0;
     read_bytes(frame, wire::frame_length(frame) - 4);
-    std::string reply = instances.play(frame);
+    std::string reply = instances.process_frame(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-      throw wire::BadInput("the reply could not be written");
+      throw wire::InputError("the reply could not be written");
     }
   }
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -13,9 +13,9 @@
 using starlinghook::Time;
 
 // path=value pairs by path. Readers throw on what is needed and missing, and on what cannot be read.
-class Pairs {
+class SettingsReader {
  public:
-  explicit Pairs(SettingsMap values) : values_(std::move(values)) {}
+  explicit SettingsReader(SettingsMap values) : values_(std::move(values)) {}
 
   const std::string* find(const std::string& path) const {
     auto it = values_.find(path);
@@ -23,24 +23,24 @@
   }
   const std::string& text(const std::string& path) const {
     const std::string* value = find(path);
-    if (!value) throw BadInput("the settings lack " + path);
+    if (!value) throw InputError("the settings lack " + path);
     return *value;
   }
-  double number(const std::string& path) const { return number_in(path, text(path)); }
+  double number(const std::string& path) const { return parse_number(path, text(path)); }
   double number(const std::string& path, double absent) const {
     const std::string* value = find(path);
-    return value ? number_in(path, *value) : absent;
+    return value ? parse_number(path, *value) : absent;
   }
-  std::uint64_t count(const std::string& path) const { return count_in(path, text(path)); }
+  std::uint64_t count(const std::string& path) const { return parse_count(path, text(path)); }
   std::uint64_t count(const std::string& path, std::uint64_t absent) const {
     const std::string* value = find(path);
-    return value ? count_in(path, *value) : absent;
+    return value ? parse_count(path, *value) : absent;
   }
   Time span(const std::string& path) const { return Time(static_cast<std::int64_t>(count(path))); }
   Time span(const std::string& path, Time absent) const { return find(path) ? span(path) : absent; }
   bool flag(const std::string& path, bool absent) const {
     const std::string* value = find(path);
-    return value ? flag_in(path, *value) : absent;
+    return value ? parse_flag(path, *value) : absent;
   }
   std::vector<std::string> list(const std::string& path) const {
     const std::string* value = find(path);
@@ -55,24 +55,24 @@
     }
   }
 
-  static double number_in(const std::string& path, const std::string& value) {
+  static double parse_number(const std::string& path, const std::string& value) {
     double result = 0;
     auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
     if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(result) || result < 0) {
-      throw BadInput("setting " + path + " is no valid number: " + value);
+      throw InputError("setting " + path + " is no valid number: " + value);
     }
     return result;
   }
-  static std::uint64_t count_in(const std::string& path, const std::string& value) {
-    double result = number_in(path, value);
+  static std::uint64_t parse_count(const std::string& path, const std::string& value) {
+    double result = parse_number(path, value);
     if (result > 1e15 || result != std::floor(result)) {
-      throw BadInput("setting " + path + " is no valid whole number: " + value);
+      throw InputError("setting " + path + " is no valid whole number: " + value);
     }
     return static_cast<std::uint64_t>(result);
   }
-  static bool flag_in(const std::string& path, const std::string& value) {
+  static bool parse_flag(const std::string& path, const std::string& value) {
     if (value != "true" && value != "false")
-      throw BadInput("setting " + path + " is no valid flag: " + value);
+      throw InputError("setting " + path + " is no valid flag: " + value);
     return value == "true";
   }
 
@@ -80,15 +80,15 @@
   SettingsMap values_;
 };
 
-constexpr std::uint64_t kMostItems = 256;  // classes or tenants that a record's field can name
+constexpr std::uint64_t kMaxItems = 256;  // classes or tenants that a record's field can name
 
-std::uint64_t items(const Pairs& in, const std::string& path, std::uint64_t absent) {
+std::uint64_t item_count(const SettingsReader& in, const std::string& path, std::uint64_t absent) {
   std::uint64_t n = in.count(path, absent);
-  if (n > kMostItems) throw BadInput("setting " + path + " is out of range");
+  if (n > kMaxItems) throw InputError("setting " + path + " is out of range");
   return n;
 }
 
-starlinghook::ClassSettings read_class(const Pairs& in, const std::string& at) {
+starlinghook::ClassSettings read_class(const SettingsReader& in, const std::string& at) {
   starlinghook::ClassSettings c;
   const std::string& effect = in.text(at + "effect");
   if (effect == "free") {
@@ -98,7 +98,7 @@
   } else if (effect == "single_shot") {
     c.effect = Effect::unsafe;
   } else {
-    throw BadInput("setting " + at + "effect is unknown: " + effect);
+    throw InputError("setting " + at + "effect is unknown: " + effect);
   }
   c.aim = in.span(at + "aim_us");
   c.deadline = in.span(at + "give_up_us");
@@ -106,14 +106,14 @@
   c.late_worth = in.number(at + "late_worth", 0);
   c.sequential = in.flag(at + "sequential", false);
   if (c.effect == Effect::keyed) {
-    c.window = in.span(at + "window_us");
+    c.dedup_window = in.span(at + "window_us");
     const std::string& scope = in.text(at + "key_scope");
     if (scope == "all") {
       c.key_scope = KeyScope::all;
     } else if (scope == "zone") {
       c.key_scope = KeyScope::zone;
     } else {
-      throw BadInput("setting " + at + "key_scope is unknown: " + scope);
+      throw InputError("setting " + at + "key_scope is unknown: " + scope);
     }
   }
   return c;
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-BootInfo parse_boot_info(std::string_view text, std::uint64_t salt) {
+InstanceSettings parse_instance_settings(std::string_view text, std::uint64_t salt) {
   SettingsMap values;
   while (!text.empty()) {
     std::size_t end = text.find('\n');
@@ -133,22 +133,22 @@
   return read_settings(std::move(values), salt);
 }
 
-BootInfo read_settings(SettingsMap values, std::uint64_t salt) {
-  const Pairs in(std::move(values));
-  BootInfo info;
+InstanceSettings read_settings(SettingsMap values, std::uint64_t salt) {
+  const SettingsReader in(std::move(values));
+  InstanceSettings info;
   starlinghook::Settings& s = info.settings;
   s.seed = salt;
   s.index = static_cast<std::uint32_t>(in.count("index", 0));
   s.forwarders = static_cast<std::uint32_t>(in.count("n_instances"));
   s.zone = static_cast<std::uint32_t>(in.count("zone", 0));
-  std::uint64_t classes = items(in, "request_classes.count", 0);
-  if (classes == 0) throw BadInput("the settings name no class of message");
+  std::uint64_t classes = item_count(in, "request_classes.count", 0);
+  if (classes == 0) throw InputError("the settings name no class of message");
   for (std::uint64_t i = 0; i < classes; ++i) {
     const std::string at = "request_classes." + std::to_string(i) + ".";
     s.classes.push_back(read_class(in, at));
     info.classes.push_back(in.find(at + "name") ? in.text(at + "name") : std::string());
   }
-  for (std::uint64_t i = 0; i < items(in, "orgs.count", 0); ++i) {
+  for (std::uint64_t i = 0; i < item_count(in, "orgs.count", 0); ++i) {
     const std::string at = "orgs." + std::to_string(i) + ".";
     s.tenants.push_back({in.number(at + "quota_per_s", 0)});
     info.tenants.push_back(in.find(at + "name") ? in.text(at + "name") : std::string());
@@ -157,40 +157,42 @@
   std::vector<std::string> batch = in.list("domain.kind_batch");
   s.kinds.resize(std::max({apart.size(), batch.size(), in.list("skus").size()}));
   for (std::size_t i = 0; i < apart.size(); ++i) {
-    s.kinds[i].routes_apart = Pairs::flag_in("domain.routes_apart", apart[i]);
+    s.kinds[i].separate_routes = SettingsReader::parse_flag("domain.routes_apart", apart[i]);
   }
   for (std::size_t i = 0; i < batch.size(); ++i) {
-    s.kinds[i].batch = std::max<std::uint64_t>(1, Pairs::count_in("domain.kind_batch", batch[i]));
+    s.kinds[i].max_batch =
+        std::max<std::uint64_t>(1, SettingsReader::parse_count("domain.kind_batch", batch[i]));
   }
   if (const std::string* late = in.find("domain.late")) {
-    if (*late != "even" && *late != "by_half") throw BadInput("setting domain.late is unknown: " + *late);
-    s.late = *late == "even" ? starlinghook::LateWorth::even : starlinghook::LateWorth::halves;
+    if (*late != "even" && *late != "by_half") throw InputError("setting domain.late is unknown: " + *late);
+    s.late_worth_decay =
+        *late == "even" ? starlinghook::LateWorthDecay::linear : starlinghook::LateWorthDecay::exponential;
   }
   s.over_share_worth = in.number("over_share_worth", 1);
   s.slots = in.count("domain.max_calls");
   s.max_held = in.count("limits.max_open");
   s.max_attempts = static_cast<std::uint32_t>(in.count("limits.max_attempts"));
   s.connect_timeout = in.span("limits.connect_timeout_us");
-  s.connection_idle = in.span("limits.conn_idle_us", Time(0));
+  s.connection_idle_timeout = in.span("limits.conn_idle_us", Time(0));
   s.calls_per_connection = std::max<std::uint64_t>(1, in.count("limits.streams_per_conn", 1));
-  s.max_return_after = in.span("limits.max_retry_after_us", Time(0));
+  s.max_retry_after = in.span("limits.max_retry_after_us", Time(0));
   s.resolution = in.span("resolution_us", Time(1));
   s.answer_slack = in.span("guarantees.answer_slack_us", Time(0));
   s.can_cancel = in.flag("limits.cancel", false);
   s.can_probe = in.flag("limits.probes", false);
-  s.can_advise_return = in.flag("limits.retry_after", false);
+  s.can_send_retry_after = in.flag("limits.retry_after", false);
   s.list_on_request = in.find("discovery") && in.text("discovery") == "ask";
-  info.rates_told = !in.find("weights") || in.text("weights") != "none";
-  s.rates_rough = in.find("weights") && in.text("weights") == "rough";
+  info.rates_listed = !in.find("weights") || in.text("weights") != "none";
+  s.rates_approximate = in.find("weights") && in.text("weights") == "rough";
   s.cross_zone_price = in.number("prices.cross_zone", 0);
   s.probe_price = in.number("prices.probe", 0);
   s.drain_grace = in.span("guarantees.stop_sending_within_us");
-  s.cold_time = in.span("guarantees.cold_us");
-  s.cold_from = in.number("guarantees.cold_from");
+  s.slow_start_time = in.span("guarantees.cold_us");
+  s.slow_start_min_share = in.number("guarantees.cold_from");
   s.overload_factor = in.number("guarantees.overload_factor");
-  s.overload_time = in.span("guarantees.fall_us");
-  s.key_quiet = in.span("guarantees.key_quiet_us", Time(0));
-  s.ask_within = in.span("guarantees.ask_within_us", Time(0));
+  s.overload_window = in.span("guarantees.fall_us");
+  s.key_quiet_time = in.span("guarantees.key_quiet_us", Time(0));
+  s.max_list_request_delay = in.span("guarantees.ask_within_us", Time(0));
   info.report_names = in.list("feedback.names");
   for (std::size_t i = 0; i < info.report_names.size(); ++i) {
     if (info.report_names[i] == "x0") info.allowance_field = static_cast<int>(i);
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -14,25 +14,25 @@
 namespace wire {
 
 // What was read is not what its description allows.
-class BadInput : public std::runtime_error {
+class InputError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 using SettingsMap = std::map<std::string, std::string>;
 
-struct BootInfo {
+struct InstanceSettings {
   starlinghook::Settings settings;
   int allowance_field = -1;  // place of the allowance in load reports
   int limit_field = -1;
-  bool rates_told = true;                                   // false: the list's rates are placeholders
+  bool rates_listed = true;                                 // false: the list's rates are placeholders
   std::vector<std::string> classes, tenants, kinds, zones;  // names, by position
   std::vector<std::string> report_names;                    // values of a load report, by place
 };
 
 // Unknown keys are skipped; a needed one that is missing or cannot be read throws BadInput.
-BootInfo read_settings(SettingsMap values, std::uint64_t salt);
+InstanceSettings read_settings(SettingsMap values, std::uint64_t salt);
 // The same from lines of path=value.
-BootInfo parse_boot_info(std::string_view text, std::uint64_t salt);
+InstanceSettings parse_instance_settings(std::string_view text, std::uint64_t salt);
 
 }  // namespace wire
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -41,13 +41,13 @@
   list_all = 27,
 };
 
-constexpr std::size_t kBatchHeader = 16;
-constexpr std::size_t kReplyHeader = 8;
+constexpr std::size_t kBatchHeaderSize = 16;
+constexpr std::size_t kReplyHeaderSize = 8;
 constexpr std::size_t kEventSize = 48;
 constexpr std::size_t kActionSize = 24;
 constexpr std::size_t kEntrySize = 22;
 constexpr std::uint16_t kAllPeers = 0xffff;
-constexpr std::size_t kListNumbers = 16;
+constexpr std::size_t kMaxLists = 16;
 
 enum class RosterForm : std::uint8_t { delta = 0, full = 1, cached = 2, failed = 3 };
 
@@ -61,7 +61,7 @@
   std::vector<starlinghook::EndpointEntry> entries;  // list
   RosterForm form{};                                 // roster_change
   std::uint64_t message = 0;                         // order, ended, opened, dropped
-  starlinghook::MessageArrived order;                // order
+  starlinghook::MessageArrived arrival;              // order
   starlinghook::AttemptEnded ended;                  // ended; also the probe's outcome of health_result
   std::array<float, 4> stats{};                      // ended, health_result
   std::uint8_t stat_count = 0;
--- a/include/starlinghook/delivery.hpp
+++ b/include/starlinghook/delivery.hpp
@@ -22,14 +22,14 @@
 enum class Effect { safe, keyed, unsafe };
 // Which endpoints of a destination drop repeats: all, or those of one zone.
 enum class KeyScope { all, zone };
-enum class LateWorth { even, halves };
+enum class LateWorthDecay { linear, exponential };
 
 struct ClassSettings {
   Effect effect = Effect::unsafe;
   KeyScope key_scope = KeyScope::all;
-  Time aim{};       // full worth until then
-  Time deadline{};  // from the first time the message was handed in
-  Time window{};    // keyed: repeats are dropped for this long
+  Time aim{};           // full worth until then
+  Time deadline{};      // from the first time the message was handed in
+  Time dedup_window{};  // keyed: repeats are dropped for this long
   double worth = 1;
   double late_worth = 0;    // share of the worth left at the deadline
   bool sequential = false;  // messages with one key keep their order
@@ -40,8 +40,8 @@
 };
 
 struct KindSettings {
-  bool routes_apart = false;  // endpoints have limits, pace and outages of their own
-  std::size_t batch = 1;      // messages that may share one call
+  bool separate_routes = false;  // endpoints have limits, pace and outages of their own
+  std::size_t max_batch = 1;     // messages that may share one call
 };
 
 struct Settings {
@@ -52,33 +52,33 @@
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::vector<KindSettings> kinds;
-  LateWorth late = LateWorth::even;
+  LateWorthDecay late_worth_decay = LateWorthDecay::linear;
   double over_share_worth = 1;
   std::size_t slots = 1;     // calls that may be out at once
   std::size_t max_held = 1;  // messages that may be held, sent or not
   std::uint32_t max_attempts = 1;
   Time connect_timeout{};
-  Time connection_idle{};
+  Time connection_idle_timeout{};
   std::size_t calls_per_connection = 1;  // that one connection carries at once
-  Time max_return_after{};               // the longest advice that a client heeds
+  Time max_retry_after{};                // the longest advice that a client heeds
   Time resolution{};                     // shortest gap between two events that are not of one moment
   Time answer_slack{};
   bool can_cancel = false;
   bool can_probe = false;
-  bool can_advise_return = false;
-  bool list_on_request = false;  // changes come only after a watch or fetch
-  bool rates_rough = false;      // listed rates are up to half too high or too low
+  bool can_send_retry_after = false;
+  bool list_on_request = false;    // changes come only after a watch or fetch
+  bool rates_approximate = false;  // listed rates are up to half too high or too low
   double cross_zone_price = 0;
   double probe_price = 0;
   bool reports_allowance = false;  // outcomes carry the allowance left and the limit
   // Figures of the rules.
   Time drain_grace{};
-  Time cold_time{};      // after an outage all capacity is back by then
-  double cold_from = 1;  // share of its capacity that a destination has at its return
+  Time slow_start_time{};           // after an outage all capacity is back by then
+  double slow_start_min_share = 1;  // share of its capacity that a destination has at its return
   double overload_factor = 1;
-  Time overload_time{};
-  Time key_quiet{};
-  Time ask_within{};
+  Time overload_window{};
+  Time key_quiet_time{};
+  Time max_list_request_delay{};
 };
 
 enum class Condition { gone, ready, draining };
@@ -111,8 +111,8 @@
   // What an earlier life of the caller did for it; all zero for a message that is new.
   std::uint32_t attempts = 0;
   bool may_have_run = false;
-  Time doubt_age{};  // since the first attempt that may have run was sent
-  std::uint32_t doubt_zone = 0;
+  Time uncertain_age{};  // since the first attempt that may have run was sent
+  std::uint32_t uncertain_zone = 0;
   // Others that are held as well are told right after it: nothing is sent, or given up, before all are known.
   bool more_follow = false;
 };
@@ -125,38 +125,38 @@
   EndpointId endpoint = 0;
   Outcome outcome = Outcome::error;
   bool finished = false;  // the message has its final answer
-  Time told_wait{};       // full: wait told by the destination; 0 = none
+  Time retry_after{};     // full: wait told by the destination; 0 = none
   bool no_slot = false;   // not_sent: every slot was taken
   LoadReport report;
   // What the caller's connection showed.
   // A failure that tells of its connection alone: that was up and broke; full: it found no place.
   bool connection_only = false;
-  Time idle{-1};                   // of the connection before the call; 0 = a new one, less = not told
+  Time connection_idle{-1};        // of the connection before the call; 0 = a new one, less = not told
   bool connection_closed = false;  // it carries no other call, however this one ended
   bool close_requested = false;    // by the call: that it closed tells nothing
 };
 struct ProbeEnded {
   EndpointId endpoint = 0;
   Outcome outcome = Outcome::error;
-  Time told_wait{};
+  Time retry_after{};
   LoadReport report;
 };
 struct ListChanged {
-  bool whole = false;   // replaces the list; what is not in it is gone
+  bool full = false;    // replaces the list; what is not in it is gone
   bool cached = false;  // saved by an earlier life, maybe old
   std::vector<EndpointEntry> entries;
 };
 struct ListFailed {};
-struct TimerFired {
+struct TimerExpired {
   std::uint64_t label = 0;
 };
-struct Stopping {  // the process ends at that moment; what is held goes to its next life
+struct ShutdownScheduled {  // the process ends at that moment; what is held goes to its next life
   Time at{};
 };
 // The forwarders together rest as many endpoints as they may: failures of these let none of them rest, and
 // only what a cold destination stands bounds their calls. Replaces the one before; empty: no such bound.
-struct RestsCapped {
-  std::vector<EndpointId> kept;
+struct BackoffCapped {
+  std::vector<EndpointId> exempt;
 };
 // Whether the caller can record attempts. While it can't, no message is sent whose effect must not be
 // doubled: after a restart nobody would know of the attempt.
@@ -164,27 +164,27 @@
   bool available = true;
 };
 using Event = std::variant<MessageArrived, MessageDropped, AttemptEnded, ProbeEnded, ListChanged, ListFailed,
-                           TimerFired, Stopping, RestsCapped, RecordingChanged>;
+                           TimerExpired, ShutdownScheduled, BackoffCapped, RecordingChanged>;
 
 // --- Actions
 struct Send {
   MessageId id = 0;
   EndpointId endpoint = 0;
   Time timeout{};
-  Time most_idle = Time::max();     // a connection that has stood idle for longer is not used
+  Time max_idle = Time::max();      // a connection that has stood idle for longer is not used
   Time begin_within = Time::max();  // the call's first byte is written by then, or none is
 };
 // Why a message is given up: to make room for others, since no call would end in time, after its last
 // attempt, since one may have run and none may follow, or since it was answered when its time was up.
-enum class GiveUpReason { none, room, time, attempts, doubt, answered_late };
+enum class GiveUpReason { none, capacity, deadline, attempts, uncertain, answered_late };
 struct Refuse {  // undelivered, may safely come again
   MessageId id = 0;
-  Time return_after{};
-  GiveUpReason why = GiveUpReason::none;
+  Time retry_after{};
+  GiveUpReason reason = GiveUpReason::none;
 };
 struct Fail {
   MessageId id = 0;
-  GiveUpReason why = GiveUpReason::none;
+  GiveUpReason reason = GiveUpReason::none;
 };
 struct Cancel {
   MessageId id = 0;
@@ -197,27 +197,27 @@
   Time at{};
   std::uint64_t label = 0;
 };
-struct CloseIdle {  // idle connections of this forwarder to an endpoint
+struct CloseIdleConnections {  // idle connections of this forwarder to an endpoint
   EndpointId endpoint = 0;
 };
 struct WatchList {};
 struct FetchList {};
-struct LogLine {
+struct LogMessage {
   std::string text;
 };
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SetTimer, WatchList, FetchList, LogLine>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdleConnections, SetTimer, WatchList,
+                            FetchList, LogMessage>;
 
 // What a forwarder has learnt of an endpoint that the list calls ready and that is not given its full pace:
 // it rests, is cold after an outage, or answers tell of less than half of its limit.
-enum class Ail { failing, cold, lowered };
-struct Ailing {
+enum class DegradationKind { failing, slow_start, reduced_limit };
+struct DegradedEndpoint {
   EndpointId endpoint = 0;
-  Ail ail{};
-  double bad = 0;  // recent share of failures, 0 to 1
+  DegradationKind kind{};
+  double failure_share = 0;  // recent share of failures, 0 to 1
 };
 
-class MemoryError : public std::runtime_error {
+class SnapshotError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -235,9 +235,9 @@
   // out.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
   // How much it remembers: messages, calls, endpoints and keys.
-  std::size_t records() const;
+  std::size_t record_count() const;
   // As of the newest event.
-  std::vector<Ailing> ailing() const;
+  std::vector<DegradedEndpoint> degraded_endpoints() const;
 
   // All that it remembers, as bytes; of no use to another version.
   std::string save() const;
--- a/src/base/descriptor.hpp
+++ b/src/base/descriptor.hpp
@@ -32,30 +32,30 @@
 
 // Descriptors that go to another process, and those that came from one. The bytes that go along name each by
 // its position.
-class DescriptorsOut {
+class OutgoingDescriptors {
  public:
   std::uint32_t add(int fd) {
-    all_.push_back(fd);
-    return static_cast<std::uint32_t>(all_.size() - 1);
+    descriptors_.push_back(fd);
+    return static_cast<std::uint32_t>(descriptors_.size() - 1);
   }
-  const std::vector<int>& all() const { return all_; }  // their owners' still
+  const std::vector<int>& all() const { return descriptors_; }  // their owners' still
 
  private:
-  std::vector<int> all_;
+  std::vector<int> descriptors_;
 };
-class DescriptorsIn {
+class IncomingDescriptors {
  public:
-  void add(FileDescriptor fd) { all_.push_back(std::move(fd)); }
-  std::size_t size() const { return all_.size(); }
+  void add(FileDescriptor fd) { descriptors_.push_back(std::move(fd)); }
+  std::size_t size() const { return descriptors_.size(); }
   // Each once; throws std::out_of_range for one that is not there.
-  FileDescriptor take(std::uint32_t position) {
-    FileDescriptor taken = std::move(all_.at(position));
+  FileDescriptor extract(std::uint32_t position) {
+    FileDescriptor taken = std::move(descriptors_.at(position));
     if (taken.get() < 0) throw std::out_of_range("a descriptor that was not handed over");
     return taken;
   }
 
  private:
-  std::vector<FileDescriptor> all_;
+  std::vector<FileDescriptor> descriptors_;
 };
 
 }  // namespace fennellane
--- a/src/base/names.hpp
+++ b/src/base/names.hpp
@@ -24,11 +24,12 @@
 
 // Of a relay, a zone or a build, where it becomes a part of a key or a path: letters, digits, '-', '_' and
 // '.'.
-inline bool plain_name(std::string_view name) {
-  constexpr std::size_t kMost = 128;
-  constexpr std::string_view kPlain = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
-  return !name.empty() && name.size() <= kMost && name.front() != '.' &&
-         name.find_first_not_of(kPlain) == std::string_view::npos;
+inline bool is_plain_name(std::string_view name) {
+  constexpr std::size_t kMaxLength = 128;
+  constexpr std::string_view kAllowedCharacters =
+      "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
+  return !name.empty() && name.size() <= kMaxLength && name.front() != '.' &&
+         name.find_first_not_of(kAllowedCharacters) == std::string_view::npos;
 }
 
 // Empty for a position past the end.
--- a/src/base/number.cpp
+++ b/src/base/number.cpp
@@ -4,7 +4,7 @@
 
 namespace fennellane {
 
-std::optional<std::uint64_t> whole_number(std::string_view text, std::uint64_t most) {
+std::optional<std::uint64_t> parse_unsigned(std::string_view text, std::uint64_t most) {
   std::uint64_t value = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
--- a/src/base/number.hpp
+++ b/src/base/number.hpp
@@ -8,6 +8,6 @@
 namespace fennellane {
 
 // Digits only, and no more than `most`; nothing for anything else.
-std::optional<std::uint64_t> whole_number(std::string_view text, std::uint64_t most);
+std::optional<std::uint64_t> parse_unsigned(std::string_view text, std::uint64_t most);
 
 }  // namespace fennellane
--- a/src/consul/agent_call.cpp
+++ b/src/consul/agent_client.cpp
@@ -1,4 +1,4 @@
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 
 #include <algorithm>
 #include <sstream>
@@ -8,7 +8,7 @@
 
 namespace fennellane {
 
-std::optional<Json::Value> json_of(const std::string& body) {
+std::optional<Json::Value> parse_json_text(const std::string& body) {
   Json::CharReaderBuilder builder;
   builder["stackLimit"] = 32;
   Json::Value value;
@@ -37,12 +37,12 @@
   return text + "\r\n" + body;
 }
 
-AgentCall::AgentCall(asio::io_context& io, const ConsulSettings& settings, const Limits& limits,
-                     std::size_t most_body, std::size_t most_text)
+AgentClient::AgentClient(asio::io_context& io, const ConsulSettings& settings, const Limits& limits,
+                         std::size_t most_body, std::size_t most_text)
     : settings_(settings), client_(io, settings.agent, limits, most_body, most_text) {}
 
-asio::awaitable<AgentAnswer> AgentCall::ask(std::string method, std::string target, std::string body,
-                                            Time limit) {
+asio::awaitable<AgentAnswer> AgentClient::request(std::string method, std::string target, std::string body,
+                                                  Time limit) {
   const Time end = steady_now() + limit;
   const auto left = [end] { return std::max(Time(1), end - steady_now()); };
   AgentAnswer answer;
@@ -60,7 +60,7 @@
   }
   answer.status = client_.answer().status();
   if (const auto index = client_.answer().header("x-consul-index"))
-    answer.index = whole_number(*index, UINT64_MAX).value_or(0);
+    answer.index = parse_unsigned(*index, UINT64_MAX).value_or(0);
   answer.body = client_.answer().take_body();
   co_return answer;
 }
--- a/src/consul/agent_call.hpp
+++ b/src/consul/agent_client.hpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <string>
 
-#include "client.hpp"
 #include "consul_settings.hpp"
+#include "http_client.hpp"
 
 namespace fennellane {
 
@@ -22,7 +22,7 @@
 };
 
 // What an answer's body holds; nothing where it is no JSON, or nested deeper than any of Consul's.
-std::optional<Json::Value> json_of(const std::string& body);
+std::optional<Json::Value> parse_json_text(const std::string& body);
 
 // The same, as text; and a span as Consul reads it.
 std::string json_text(const Json::Value& value);
@@ -31,21 +31,21 @@
 std::string agent_request(const ConsulSettings& settings, const std::string& method,
                           const std::string& target, const std::string& body = {});
 
-class AgentCall {
+class AgentClient {
  public:
   // `settings` must outlive it; answers of more than `most_body` bytes count as none, and calls of more than
   // `most_text` are not sent (0 = the usual).
-  AgentCall(asio::io_context& io, const ConsulSettings& settings, const Limits& limits, std::size_t most_body,
-            std::size_t most_text = 0);
+  AgentClient(asio::io_context& io, const ConsulSettings& settings, const Limits& limits,
+              std::size_t most_body, std::size_t most_text = 0);
 
-  asio::awaitable<AgentAnswer> ask(std::string method, std::string target, std::string body, Time limit);
+  asio::awaitable<AgentAnswer> request(std::string method, std::string target, std::string body, Time limit);
   void close() { client_.close(); }
   // As Client::report_strays.
-  void report_strays(std::uint64_t& counter, Log& log) { client_.report_strays(counter, log); }
+  void report_strays(std::uint64_t& counter, Log& log) { client_.enable_stray_reporting(counter, log); }
 
  private:
   const ConsulSettings& settings_;
-  Client client_;
+  HttpClient client_;
 };
 
 }  // namespace fennellane
--- a/src/consul/agent_question.hpp
+++ b/src/consul/agent_query.hpp
@@ -4,21 +4,21 @@
 #include <asio/co_spawn.hpp>
 #include <string>
 
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 
 namespace fennellane {
 
-inline std::string not_answered(const AgentAnswer& answer) {
+inline std::string no_answer_message(const AgentAnswer& answer) {
   return "Consul has not answered, status " + std::to_string(answer.status);
 }
 
 // Runs one question to its end; `ask` is a coroutine over the call. `most_text`: of a request; 0 = the usual.
 // False where something went wrong, which `trouble` says.
 template <class Ask>
-bool with_agent(const ConsulSettings& consul, const Limits& limits, std::size_t most_text,
-                std::string& trouble, Ask ask) {
+bool run_agent_query(const ConsulSettings& consul, const Limits& limits, std::size_t most_text,
+                     std::string& trouble, Ask ask) {
   asio::io_context io(1);
-  AgentCall call(io, consul, limits, limits.fleet_answer, most_text);
+  AgentClient call(io, consul, limits, limits.max_fleet_answer, most_text);
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
--- a/src/consul/answer_reader.cpp
+++ b/src/consul/answer_reader.cpp
@@ -18,18 +18,18 @@
 namespace fennellane {
 namespace {
 
-constexpr unsigned kMostDepth = 32;
-constexpr double kMostRate = 1e9, kMostWeight = 65535;
-constexpr std::size_t kMostComplaint = 200;
+constexpr unsigned kMaxDepth = 32;
+constexpr double kMaxRate = 1e9, kMaxWeight = 65535;
+constexpr std::size_t kMaxProblemLength = 200;
 
-bool blank(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
+bool is_whitespace(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
 
 Json::Value parse_object(std::string_view text) {
   Json::CharReaderBuilder builder;
   builder["collectComments"] = false;
   builder["allowComments"] = false;
   builder["failIfExtra"] = true;
-  builder["stackLimit"] = kMostDepth + 8;
+  builder["stackLimit"] = kMaxDepth + 8;
   const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   Json::Value value;
   try {
@@ -40,13 +40,13 @@
   throw AnswerError("a host is no JSON object");
 }
 
-const Json::Value& part(const Json::Value& in, const char* name, Json::ValueType type) {
+const Json::Value& required_field(const Json::Value& in, const char* name, Json::ValueType type) {
   const Json::Value& value = in[name];
   if (value.type() != type) throw AnswerError(std::string(name) + " is missing or of a wrong type");
   return value;
 }
 
-std::string text_or_empty(const Json::Value& in, const char* name) {
+std::string optional_text(const Json::Value& in, const char* name) {
   const Json::Value& value = in[name];
   if (value.isNull()) return "";
   if (!value.isString()) throw AnswerError(std::string(name) + " is of a wrong type");
@@ -54,12 +54,12 @@
 }
 
 // The worst of the checks; those of maintenance come by their ids.
-HostHealth health_of(const Json::Value& checks) {
+HostHealth worst_health(const Json::Value& checks) {
   HostHealth worst = HostHealth::passing;
   for (const Json::Value& check : checks) {
     if (!check.isObject()) throw AnswerError("a check is no object");
-    const std::string status = part(check, "Status", Json::stringValue).asString();
-    const std::string id = text_or_empty(check, "CheckID");
+    const std::string status = required_field(check, "Status", Json::stringValue).asString();
+    const std::string id = optional_text(check, "CheckID");
     HostHealth health = HostHealth::passing;
     if (status == "warning") {
       health = HostHealth::warning;
@@ -79,7 +79,7 @@
 double weight_of(const Json::Value& weights, const char* name) {
   const Json::Value& value = weights[name];
   if (value.isNull()) return 1;
-  if (!value.isNumeric() || !(value.asDouble() >= 0) || value.asDouble() > kMostWeight) {
+  if (!value.isNumeric() || !(value.asDouble() >= 0) || value.asDouble() > kMaxWeight) {
     throw AnswerError(std::string("the weight ") + name + " is out of range");
   }
   return value.asDouble();
@@ -98,7 +98,7 @@
 void ArraySplitter::feed(std::string_view bytes, Take take) {
   std::size_t start = 0;  // of the element's part in `bytes`
   const auto keep = [&](std::size_t end) {
-    if (element_.size() + (end - start) > most_element_) throw AnswerError("a host's entry is too long");
+    if (element_.size() + (end - start) > max_element_) throw AnswerError("a host's entry is too long");
     element_.append(bytes.substr(start, end - start));
   };
   for (std::size_t i = 0; i < bytes.size(); ++i) {
@@ -115,7 +115,7 @@
       } else if (c == '"') {
         in_string_ = true;
       } else if (c == '{' || c == '[') {
-        if (++depth_ > kMostDepth) throw AnswerError("a host's entry is nested too deeply");
+        if (++depth_ > kMaxDepth) throw AnswerError("a host's entry is nested too deeply");
       } else if ((c == '}' || c == ']') && --depth_ == 0) {
         keep(i + 1);
         state_ = State::between;
@@ -124,7 +124,7 @@
       }
       continue;
     }
-    if (blank(c)) continue;
+    if (is_whitespace(c)) continue;
     if (state_ == State::before && c == '[') {
       state_ = State::first;
     } else if ((state_ == State::first || state_ == State::next) && c == '{') {
@@ -149,55 +149,55 @@
 void AnswerReader::begin() {
   splitter_.reset();
   staged_.clear();
-  bytes_ = count_ = unusable_ = 0;
-  complaint_.clear();
-  ++answer_;
+  bytes_ = host_count_ = unusable_ = 0;
+  first_problem_.clear();
+  ++answer_number_;
 }
 
-void AnswerReader::forget() {
+void AnswerReader::reset() {
   known_.clear();
-  first_ = true;
+  next_is_full_ = true;
 }
 
 void AnswerReader::feed(std::string_view bytes) {
   bytes_ += bytes.size();
   if (bytes_ > limits_.bytes) throw AnswerError("the answer is too long");
-  splitter_.feed(bytes, [this](std::string_view element) { take(element); });
+  splitter_.feed(bytes, [this](std::string_view element) { add_element(element); });
 }
 
-void AnswerReader::take(std::string_view element) {
-  if (++count_ > limits_.hosts) throw AnswerError("the answer names too many hosts");
+void AnswerReader::add_element(std::string_view element) {
+  if (++host_count_ > limits_.hosts) throw AnswerError("the answer names too many hosts");
   const Hash hash{XXH3_128bits(element.data(), element.size())};
   if (const auto it = known_.find(hash); it != known_.end()) {
-    if (it->second.seen == answer_) throw AnswerError(it->second.id + " is named twice");
-    it->second.seen = answer_;
+    if (it->second.last_answer == answer_number_) throw AnswerError(it->second.id + " is named twice");
+    it->second.last_answer = answer_number_;
     if (!it->second.usable) ++unusable_;
     return;
   }
-  staged_.push_back({hash, read(element)});
+  staged_.push_back({hash, parse_instance(element)});
 }
 
-void AnswerReader::complain(const std::string& id, const std::string& what) {
+void AnswerReader::record_unusable(const std::string& id, const std::string& what) {
   ++unusable_;
-  if (complaint_.empty()) complaint_ = (id + ": " + what).substr(0, kMostComplaint);
+  if (first_problem_.empty()) first_problem_ = (id + ": " + what).substr(0, kMaxProblemLength);
 }
 
 // Throws where the entry does not say whose it is or how that host fares; what it says wrongly of a host that
 // it names makes this host unusable and no other.
-Instance AnswerReader::read(std::string_view element) {
+Instance AnswerReader::parse_instance(std::string_view element) {
   const Json::Value in = parse_object(element);
   const ConsulService& of = settings_.services[service_];
-  const Json::Value& node = part(in, "Node", Json::objectValue);
-  const Json::Value& service = part(in, "Service", Json::objectValue);
-  const std::string node_name = part(node, "Node", Json::stringValue).asString();
-  const std::string service_id = part(service, "ID", Json::stringValue).asString();
+  const Json::Value& node = required_field(in, "Node", Json::objectValue);
+  const Json::Value& service = required_field(in, "Service", Json::objectValue);
+  const std::string node_name = required_field(node, "Node", Json::stringValue).asString();
+  const std::string service_id = required_field(service, "ID", Json::stringValue).asString();
   Instance i;
   // Ids are unique on their node only.
   i.id = of.name + "/" + node_name + "/" + service_id;
-  i.health = health_of(part(in, "Checks", Json::arrayValue));
+  i.health = worst_health(required_field(in, "Checks", Json::arrayValue));
   try {
-    i.address.host = text_or_empty(service, "Address");
-    if (i.address.host.empty()) i.address.host = text_or_empty(node, "Address");
+    i.address.host = optional_text(service, "Address");
+    if (i.address.host.empty()) i.address.host = optional_text(node, "Address");
     if (!is_numeric_host(i.address.host)) {
       throw AnswerError("its address is a name and there is no DNS: '" + i.address.host + "'");
     }
@@ -216,11 +216,11 @@
     const Json::Value& meta = service["Meta"];
     if (!meta.isNull() && !meta.isObject()) throw AnswerError("Meta is of a wrong type");
     const auto told = [&meta](const std::string& key) {
-      return meta.isObject() ? text_or_empty(meta, key.c_str()) : std::string();
+      return meta.isObject() ? optional_text(meta, key.c_str()) : std::string();
     };
     const std::string destination = told(settings_.meta.destination), rate = told(settings_.meta.rate);
     if (!destination.empty()) {
-      const auto number = whole_number(destination, 65535);
+      const auto number = parse_unsigned(destination, 65535);
       if (!number) throw AnswerError("its destination is no number up to 65535: '" + destination + "'");
       i.destination = static_cast<std::uint32_t>(*number);
     } else if (of.destination) {
@@ -232,7 +232,7 @@
     if (!rate.empty()) {
       const char* const end = rate.data() + rate.size();
       const auto [stop, error] = std::from_chars(rate.data(), end, i.rate);
-      if (error != std::errc() || stop != end || !(i.rate >= 0) || i.rate > kMostRate) {
+      if (error != std::errc() || stop != end || !(i.rate >= 0) || i.rate > kMaxRate) {
         throw AnswerError("its rate is no number: '" + rate + "'");
       }
     }
@@ -241,7 +241,7 @@
     i.kind = position_of(names_.kinds, kind.empty() ? of.kind : kind);
   } catch (const AnswerError& e) {
     i.usable = false;
-    complain(i.id, e.what());
+    record_unusable(i.id, e.what());
   }
   return i;
 }
@@ -250,7 +250,7 @@
   if (!splitter_.done()) throw AnswerError("the answer ends early");
   std::unordered_set<std::string_view> stale;  // ids of entries that this answer does not have as they were
   for (const auto& [hash, known] : known_) {
-    if (known.seen != answer_) stale.insert(known.id);
+    if (known.last_answer != answer_number_) stale.insert(known.id);
   }
   ServiceAnswer answer;
   answer.service = service_;
@@ -262,16 +262,16 @@
   }
   // An id is new to this reader, or its entry stands beside the one of before.
   for (auto it = known_.begin(); any_new && it != known_.end(); ++it) {
-    if (it->second.seen == answer_ && named.contains(it->second.id)) {
+    if (it->second.last_answer == answer_number_ && named.contains(it->second.id)) {
       throw AnswerError(it->second.id + " is named twice");
     }
   }
-  for (const std::string_view id : stale) answer.gone.emplace_back(id);
+  for (const std::string_view id : stale) answer.removed.emplace_back(id);
   // From here on the answer counts.
-  answer.whole = std::exchange(first_, false);
-  std::erase_if(known_, [this](const auto& k) { return k.second.seen != answer_; });
+  answer.whole = std::exchange(next_is_full_, false);
+  std::erase_if(known_, [this](const auto& k) { return k.second.last_answer != answer_number_; });
   for (Staged& s : staged_) {
-    known_[s.hash] = {s.instance.id, answer_, s.instance.usable};
+    known_[s.hash] = {s.instance.id, answer_number_, s.instance.usable};
     answer.changed.push_back(std::move(s.instance));
   }
   staged_.clear();
--- a/src/consul/answer_reader.hpp
+++ b/src/consul/answer_reader.hpp
@@ -35,7 +35,7 @@
 // Cuts the text of a JSON array into its elements.
 class ArraySplitter {
  public:
-  explicit ArraySplitter(std::size_t most_element) : most_element_(most_element) {}
+  explicit ArraySplitter(std::size_t most_element) : max_element_(most_element) {}
   // Calls `take(std::string_view)` for each element that is complete. Throws AnswerError.
   template <class Take>
   void feed(std::string_view bytes, Take take);
@@ -44,7 +44,7 @@
 
  private:
   enum class State { before, first, element, between, next, after };
-  const std::size_t most_element_;
+  const std::size_t max_element_;
   State state_ = State::before;
   std::string element_;
   unsigned depth_ = 0;
@@ -68,11 +68,11 @@
   // The end of the answer. Throws AnswerError if it is not whole.
   ServiceAnswer finish();
   // All that is known is forgotten; the next answer is whole.
-  void forget();
+  void reset();
 
   // Of the newest answer: hosts that cannot be used, and what is wrong with the first.
   std::size_t unusable() const { return unusable_; }
-  const std::string& complaint() const { return complaint_; }
+  const std::string& first_problem() const { return first_problem_; }
   std::size_t hosts() const { return known_.size(); }
 
  private:
@@ -85,12 +85,12 @@
   };
   struct Known {
     std::string id;
-    std::uint32_t seen = 0;  // the newest answer that has it
+    std::uint32_t last_answer = 0;  // the newest answer that has it
     bool usable = true;
   };
-  void take(std::string_view element);
-  Instance read(std::string_view element);
-  void complain(const std::string& id, const std::string& what);
+  void add_element(std::string_view element);
+  Instance parse_instance(std::string_view element);
+  void record_unusable(const std::string& id, const std::string& what);
 
   const ConsulSettings& settings_;
   const std::uint32_t service_;
@@ -98,17 +98,17 @@
   const AnswerLimits limits_;
   ArraySplitter splitter_;
   std::unordered_map<Hash, Known, HashOf> known_;
-  std::uint32_t answer_ = 0;  // counts them
-  bool first_ = true;
+  std::uint32_t answer_number_ = 0;  // counts them
+  bool next_is_full_ = true;
   std::size_t bytes_ = 0;
-  std::size_t count_ = 0;
+  std::size_t host_count_ = 0;
   struct Staged {
     Hash hash;
     Instance instance;
   };
   std::vector<Staged> staged_;  // of the present answer, new or changed
   std::size_t unusable_ = 0;
-  std::string complaint_;
+  std::string first_problem_;
 };
 
 }  // namespace fennellane
--- a/src/consul/consul_json.cpp
+++ b/src/consul/consul_json.cpp
@@ -32,7 +32,7 @@
 }
 
 // The fence: a transaction with it takes place only while the session holds the role.
-Json::Value fence(const std::string& key, const std::string& session) {
+Json::Value session_check_operation(const std::string& key, const std::string& session) {
   Json::Value operation;
   operation["KV"]["Verb"] = "check-session";
   operation["KV"]["Key"] = key;
@@ -40,15 +40,15 @@
   return operation;
 }
 
-lease::Written written(const AgentAnswer& answer) {
-  return answer.status == 200   ? lease::Written::taken
-         : answer.status == 409 ? lease::Written::refused
-                                : lease::Written::failed;
+lease::WriteResult transaction_result(const AgentAnswer& answer) {
+  return answer.status == 200   ? lease::WriteResult::accepted
+         : answer.status == 409 ? lease::WriteResult::refused
+                                : lease::WriteResult::unknown;
 }
 
 namespace {
 
-Json::Value kv(const char* verb, const std::string& key, const std::string& value) {
+Json::Value kv_operation(const char* verb, const std::string& key, const std::string& value) {
   Json::Value operation;
   operation["KV"]["Verb"] = verb;
   operation["KV"]["Key"] = key;
@@ -59,15 +59,17 @@
 
 }  // namespace
 
-Json::Value set_key(const std::string& key, const std::string& value) { return kv("set", key, value); }
+Json::Value set_operation(const std::string& key, const std::string& value) {
+  return kv_operation("set", key, value);
+}
 
-Json::Value set_key_as_read(const std::string& key, std::uint64_t index, const std::string& value) {
-  Json::Value operation = kv("cas", key, value);
+Json::Value cas_operation(const std::string& key, std::uint64_t index, const std::string& value) {
+  Json::Value operation = kv_operation("cas", key, value);
   operation["KV"]["Index"] = Json::UInt64(index);
   return operation;
 }
 
-Json::Value delete_key_as_read(const std::string& key, std::uint64_t index) {
+Json::Value delete_cas_operation(const std::string& key, std::uint64_t index) {
   Json::Value operation;
   operation["KV"]["Verb"] = "delete-cas";
   operation["KV"]["Key"] = key;
@@ -75,14 +77,14 @@
   return operation;
 }
 
-Json::Value delete_below(const std::string& prefix) {
+Json::Value delete_tree_operation(const std::string& prefix) {
   Json::Value operation;
   operation["KV"]["Verb"] = "delete-tree";
   operation["KV"]["Key"] = prefix;
   return operation;
 }
 
-std::string value_of(const Json::Value& entry) {
+std::string decoded_value(const Json::Value& entry) {
   const std::string text = entry.get("Value", "").asString();
   try {
     return cereal::base64::decode(text);
@@ -94,25 +96,25 @@
 bool read_entry(const std::string& body, std::string& value, std::uint64_t& index) {
   return with_json(body, [&](const Json::Value& v) {
     if (!v.isArray() || v.size() != 1) return false;
-    value = value_of(v[0]);
+    value = decoded_value(v[0]);
     index = v[0]["ModifyIndex"].asUInt64();
     return true;
   });
 }
 
-asio::awaitable<std::string> create_session(AgentCall& call, std::string body, Time limit) {
-  const AgentAnswer answer = co_await call.ask("PUT", "/v1/session/create", std::move(body), limit);
+asio::awaitable<std::string> create_session(AgentClient& call, std::string body, Time limit) {
+  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/create", std::move(body), limit);
   co_return answer.status == 200 ? session_id(answer.body) : "";
 }
 
-asio::awaitable<std::optional<bool>> renew_session(AgentCall& call, std::string session, Time limit) {
-  const AgentAnswer answer = co_await call.ask("PUT", "/v1/session/renew/" + session, "", limit);
+asio::awaitable<std::optional<bool>> renew_session(AgentClient& call, std::string session, Time limit) {
+  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/renew/" + session, "", limit);
   if (answer.status != 200 && answer.status != 404) co_return std::nullopt;
   co_return answer.status == 200;
 }
 
-asio::awaitable<bool> destroy_session(AgentCall& call, std::string session, Time limit) {
-  const AgentAnswer answer = co_await call.ask("PUT", "/v1/session/destroy/" + session, "", limit);
+asio::awaitable<bool> destroy_session(AgentClient& call, std::string session, Time limit) {
+  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/destroy/" + session, "", limit);
   co_return answer.status == 200;
 }
 
--- a/src/consul/consul_source.cpp
+++ b/src/consul/consul_source.cpp
@@ -4,40 +4,40 @@
 #include <asio/co_spawn.hpp>
 
 #include "clock.hpp"
-#include "memory.hpp"
+#include "snapshot.hpp"
 
 namespace fennellane {
 
-ConsulSource::ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulPlace place,
-                           const Limits& limits, Counters& counters, Log& log, OnList on_list,
+ConsulSource::ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext place,
+                           const Limits& limits, Counters& counters, Log& log, OnHostList on_list,
                            const ConsulSource* before)
     : io_(io),
       settings_(settings),
-      place_(std::move(place)),
+      context_(std::move(place)),
       limits_(limits),
       counters_(counters),
       log_(log),
       on_list_(std::move(on_list)),
       budget_(settings.queries_per_second),
       membership_(settings.membership),
-      store_(place_.state_folder, limits.list_file),
-      due_(io),
-      saving_(io) {
+      store_(context_.state_folder, limits.max_host_list_file),
+      membership_timer_(io),
+      save_timer_(io) {
   for (std::uint32_t s = 0; s < settings_.services.size(); ++s) {
     watches_.push_back(std::make_unique<ConsulWatch>(
-        io, settings_, s, place_.names, limits, place_.seed + s, budget_, counters, log,
-        [this](const ServiceAnswer& answer) { return take(answer); }));
+        io, settings_, s, context_.names, limits, context_.seed + s, budget_, counters, log,
+        [this](const ServiceAnswer& answer) { return apply_answer(answer); }));
   }
   if (settings_.registration) {
     registration_ = std::make_shared<Registration>(
-        io, settings_, settings_.registration->service + "-" + place_.relay, limits, counters, log);
+        io, settings_, settings_.registration->service + "-" + context_.relay, limits, counters, log);
   }
-  if (before != nullptr) copy(*before);
+  if (before != nullptr) restore_from(*before);
 }
 
 // Services that are still watched go on with what is known of them; others are gone.
-void ConsulSource::copy(const ConsulSource& before) {
-  before.membership_.each_instance([this, &before](std::uint32_t service, const Instance& instance) {
+void ConsulSource::restore_from(const ConsulSource& before) {
+  before.membership_.for_each_instance([this, &before](std::uint32_t service, const Instance& instance) {
     const std::string& name = before.settings_.services[service].name;
     const auto it = std::find_if(settings_.services.begin(), settings_.services.end(),
                                  [&name](const ConsulService& s) { return s.name == name; });
@@ -54,31 +54,31 @@
 }
 
 std::string ConsulSource::save() {
-  return written_memory([this](MemoryWriter& archive) {
+  return write_snapshot([this](SnapshotWriter& archive) {
     archive(services_text(), membership_.save(), registration_ && registration_->registered());
   });
 }
 
 void ConsulSource::load(std::string_view bytes) {
-  read_memory(bytes, "what is known from Consul", [this](MemoryReader& archive) {
+  read_snapshot(bytes, "what is known from Consul", [this](SnapshotReader& archive) {
     std::string services, membership;
     bool registered = false;
     archive(services, membership, registered);
     if (registered && registration_) registration_->adopt();
     if (services != services_text()) return;
     membership_.load(membership);
-    adopted_ = true;
+    restored_from_handover_ = true;
   });
 }
 
 void ConsulSource::start() {
-  if (adopted_) {
-    arm();
+  if (restored_from_handover_) {
+    set_timer();
   } else if (seeded_) {
     on_list_(membership_.whole_list(), false);
   } else {
     const std::string wrong =
-        store_.load(settings_, place_.names,
+        store_.load(settings_, context_.names,
                     [this](std::uint32_t service, const Instance& i) { membership_.restore(service, i); });
     if (!wrong.empty()) log_("consul", wrong);
     HostList list = membership_.whole_list();
@@ -98,65 +98,65 @@
 void ConsulSource::stop() {
   stopped_ = true;
   for (const auto& watch : watches_) watch->stop();
-  due_.cancel();
-  saving_.cancel();
+  membership_timer_.cancel();
+  save_timer_.cancel();
   if (registration_) registration_->leave();
 }
 
 void ConsulSource::leave(bool returns) {
   if (registration_) registration_->leave(returns);
-  if (save_armed_) keep_list();
+  if (save_scheduled_) save_list();
 }
 
 void ConsulSource::set_ready() {
   if (registration_) registration_->set_ready();
 }
 
-bool ConsulSource::take(const ServiceAnswer& answer) {
-  MembershipChange change = membership_.take(steady_now(), answer);
-  const bool ask_again = change.ask_again;
-  if (!answer.changed.empty() || !answer.gone.empty()) save_later();
-  tell(std::move(change));
+bool ConsulSource::apply_answer(const ServiceAnswer& answer) {
+  MembershipChange change = membership_.apply(steady_now(), answer);
+  const bool ask_again = change.query_again;
+  if (!answer.changed.empty() || !answer.removed.empty()) schedule_save();
+  publish(std::move(change));
   return ask_again;
 }
 
-void ConsulSource::tell(MembershipChange change) {
-  for (const std::string& line : change.lines) log_("consul", line);
+void ConsulSource::publish(MembershipChange change) {
+  for (const std::string& line : change.log_lines) log_("consul", line);
   if (change.list && !stopped_) {
-    ++counters_.lists;
+    ++counters_.host_lists;
     on_list_(std::move(*change.list), false);
   }
-  if (!stopped_) arm();
+  if (!stopped_) set_timer();
 }
 
-void ConsulSource::arm() {
-  const Time next = membership_.next();
+void ConsulSource::set_timer() {
+  const Time next = membership_.next_due();
   if (next == Time::max()) {
-    due_.cancel();
+    membership_timer_.cancel();
     return;
   }
-  due_.expires_at(steady_moment(next));
-  due_.async_wait([weak = weak_from_this()](asio::error_code error) {
+  membership_timer_.expires_at(to_time_point(next));
+  membership_timer_.async_wait([weak = weak_from_this()](asio::error_code error) {
     const auto self = weak.lock();
-    if (!error && self && !self->stopped_) self->tell(self->membership_.tick(steady_now()));
+    if (!error && self && !self->stopped_) self->publish(self->membership_.tick(steady_now()));
   });
 }
 
 // Guards the loop and the disk against a file written anew with each flip.
-void ConsulSource::save_later() {
-  if (save_armed_ || limits_.list_file == 0) return;
-  save_armed_ = true;
-  saving_.expires_after(limits_.list_gap);
-  saving_.async_wait([weak = weak_from_this()](asio::error_code error) {
+void ConsulSource::schedule_save() {
+  if (save_scheduled_ || limits_.max_host_list_file == 0) return;
+  save_scheduled_ = true;
+  save_timer_.expires_after(limits_.list_save_interval);
+  save_timer_.async_wait([weak = weak_from_this()](asio::error_code error) {
     const auto self = weak.lock();
-    if (!error && self && !self->stopped_) self->keep_list();
+    if (!error && self && !self->stopped_) self->save_list();
   });
 }
 
-void ConsulSource::keep_list() {
-  save_armed_ = false;
-  const std::string wrong = store_.save(membership_, settings_, place_.names);
-  ++counters_.consul_saves;
+void ConsulSource::save_list() {
+  save_scheduled_ = false;
+  const std::string wrong = store_.save(membership_, settings_, context_.names);
+  ++counters_.consul_list_saves;
   if (!wrong.empty()) log_("consul", wrong);
 }
 
--- a/src/consul/consul_source.hpp
+++ b/src/consul/consul_source.hpp
@@ -20,8 +20,8 @@
 
 namespace fennellane {
 
-struct ConsulPlace {  // what the relay gives to each of its sources
-  std::string relay;  // its name
+struct ConsulSourceContext {  // what the relay gives to each of its sources
+  std::string relay;          // its name
   std::uint64_t seed = 0;
   NamePositions names;
   std::string state_folder;
@@ -31,8 +31,9 @@
  public:
   // `before`: the source that this one takes over from, where that was Consul too; may be null. The list it
   // had goes on; without one, that of an earlier life is told as `cached`.
-  ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulPlace place, const Limits& limits,
-               Counters& counters, Log& log, OnList on_list, const ConsulSource* before);
+  ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext place,
+               const Limits& limits, Counters& counters, Log& log, OnHostList on_list,
+               const ConsulSource* before);
 
   void start() override;
   void stop() override;
@@ -47,30 +48,30 @@
 
  private:
   std::string services_text() const;
-  bool take(const ServiceAnswer& answer);  // whether it is wanted once more
-  void tell(MembershipChange change);
-  void arm();
-  void save_later();
-  void keep_list();
-  void copy(const ConsulSource& before);
+  bool apply_answer(const ServiceAnswer& answer);  // whether it is wanted once more
+  void publish(MembershipChange change);
+  void set_timer();
+  void schedule_save();
+  void save_list();
+  void restore_from(const ConsulSource& before);
 
   asio::io_context& io_;
   const ConsulSettings settings_;
-  const ConsulPlace place_;
+  const ConsulSourceContext context_;
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  OnList on_list_;
-  QueryBudget budget_;
+  OnHostList on_list_;
+  QueryRateLimiter budget_;
   Membership membership_;
   ListStore store_;
   std::vector<std::unique_ptr<ConsulWatch>> watches_;
   std::shared_ptr<Registration> registration_;  // may be null
-  asio::steady_timer due_;                      // the membership's
-  asio::steady_timer saving_;
-  bool save_armed_ = false;
-  bool adopted_ = false;  // the list goes on as it was told by another process
-  bool seeded_ = false;   // an earlier life's or an earlier source's list is known
+  asio::steady_timer membership_timer_;         // the membership's
+  asio::steady_timer save_timer_;
+  bool save_scheduled_ = false;
+  bool restored_from_handover_ = false;  // the list goes on as it was told by another process
+  bool seeded_ = false;                  // an earlier life's or an earlier source's list is known
   bool stopped_ = false;
 };
 
--- a/src/consul/consul_watch.cpp
+++ b/src/consul/consul_watch.cpp
@@ -4,7 +4,7 @@
 #include <asio/redirect_error.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 #include "clock.hpp"
 #include "number.hpp"
 
@@ -12,13 +12,13 @@
 namespace {
 
 using std::chrono::steady_clock;
-constexpr std::uint64_t kMostMs = 1000ull * 60 * 60 * 24;
+constexpr std::uint64_t kMaxMilliseconds = 1000ull * 60 * 60 * 24;
 
 }  // namespace
 
 ConsulWatch::ConsulWatch(asio::io_context& io, const ConsulSettings& settings, std::uint32_t service,
                          const NamePositions& names, const Limits& limits, std::uint64_t seed,
-                         QueryBudget& budget, Counters& counters, Log& log, OnAnswer on_answer)
+                         QueryRateLimiter& budget, Counters& counters, Log& log, OnAnswer on_answer)
     : settings_(settings),
       service_(settings.services[service]),
       limits_(limits),
@@ -26,11 +26,12 @@
       counters_(counters),
       log_(log),
       on_answer_(std::move(on_answer)),
-      reader_(settings, service, names, {limits.consul_answer, limits.consul_host, limits.consul_hosts}),
-      plan_(settings, seed, limits.backoff_least, limits.backoff_most),
-      client_(io, settings.agent, limits, limits.consul_answer),
+      reader_(settings, service, names,
+              {limits.max_consul_answer, limits.max_consul_host, limits.max_consul_hosts}),
+      plan_(settings, seed, limits.backoff_min, limits.backoff_max),
+      client_(io, settings.agent, limits, limits.max_consul_answer),
       pause_(io) {
-  client_.report_strays(counters.agent_strays, log);
+  client_.enable_stray_reporting(counters.agent_strays, log);
 }
 
 void ConsulWatch::stop() {
@@ -55,24 +56,24 @@
   head.status = answer.status();
   const auto number = [&answer](std::string_view name, std::uint64_t most) -> std::uint64_t {
     const auto text = answer.header(name);
-    return text ? whole_number(*text, most).value_or(0) : 0;
+    return text ? parse_unsigned(*text, most).value_or(0) : 0;
   };
   head.index = number("x-consul-index", UINT64_MAX);
   const auto leader = answer.header("x-consul-knownleader");
   head.known_leader = !leader || *leader == "true";
-  head.last_contact = std::chrono::milliseconds(number("x-consul-lastcontact", kMostMs));
-  head.retry_after = std::chrono::seconds(number("retry-after", kMostMs / 1000));
+  head.last_contact = std::chrono::milliseconds(number("x-consul-lastcontact", kMaxMilliseconds));
+  head.retry_after = std::chrono::seconds(number("retry-after", kMaxMilliseconds / 1000));
   return head;
 }
 
 bool ConsulWatch::fail(std::string why) {
-  trouble_ = std::move(why);
-  plan_.failed();
+  error_ = std::move(why);
+  plan_.on_failure();
   client_.close();
   return false;
 }
 
-asio::awaitable<void> ConsulWatch::rest(Time span) {
+asio::awaitable<void> ConsulWatch::sleep_for(Time span) {
   if (span <= Time(0) || stopped_) co_return;
   pause_.expires_after(span);
   asio::error_code cut_short;
@@ -104,71 +105,71 @@
   co_return true;
 }
 
-asio::awaitable<bool> ConsulWatch::ask() {
-  const WatchQuery query = plan_.next();
+asio::awaitable<bool> ConsulWatch::run_query() {
+  const WatchQuery query = plan_.next_query();
   ++counters_.consul_queries;
   if (!client_.open()) {
-    const bool connected = co_await client_.connect(limits_.agent_answer);
+    const bool connected = co_await client_.connect(limits_.agent_read_timeout);
     if (!connected) co_return fail("cannot connect to " + settings_.agent.text());
   }
-  const bool sent = co_await client_.send(request(query), limits_.agent_answer);
+  const bool sent = co_await client_.send(request(query), limits_.agent_read_timeout);
   if (!sent) co_return fail("the connection has ended");
   // An agent adds up to a 16th to the time it was asked to wait.
-  Time silence = limits_.agent_answer;
+  Time silence = limits_.agent_read_timeout;
   if (query.index > 0) silence += query.wait + query.wait / 16;
   bool good = co_await client_.read(silence);
-  const auto end = steady_clock::now() + settings_.answer;
+  const auto end = steady_clock::now() + settings_.answer_timeout;
   while (good && !client_.answer().head_done()) {
     const auto left = std::chrono::duration_cast<Time>(end - steady_clock::now());
     good = left > Time(0);
     if (good) good = co_await client_.read(left);
   }
   if (!good) co_return fail("no answer that can be read");
-  const WatchPlan::Use use = plan_.head(head());
-  if (use == WatchPlan::Use::refused || use == WatchPlan::Use::backwards) {
-    trouble_ = plan_.trouble();
+  const WatchPlan::AnswerUse use = plan_.on_head(head());
+  if (use == WatchPlan::AnswerUse::rejected || use == WatchPlan::AnswerUse::index_decreased) {
+    error_ = plan_.error();
     client_.close();
     co_return false;
   }
   ServiceAnswer answer;
   const bool whole = co_await read_body(answer, end);
   if (!whole) co_return false;
-  answer.leader = use == WatchPlan::Use::read;
-  answer.fresh = plan_.fresh();
+  answer.leader_in_contact = use == WatchPlan::AnswerUse::usable;
+  answer.from_leader = plan_.from_leader();
   ++counters_.consul_answers;
-  plan_.taken();
-  if (!stopped_ && on_answer_(answer)) plan_.confirm();
+  plan_.on_answer_read();
+  if (!stopped_ && on_answer_(answer)) plan_.query_again();
   co_return true;
 }
 
 // Once for each trouble, and once for its end: an agent that is down for an hour makes no hundred lines.
-void ConsulWatch::say_trouble(const std::string& trouble) {
-  if (trouble == said_) return;
+void ConsulWatch::log_error_change(const std::string& trouble) {
+  if (trouble == logged_error_) return;
   if (trouble.empty()) {
     log_("consul", service_.name + ": answers again");
   } else {
     log_("consul", service_.name + ": " + trouble + "; the last good list stays");
   }
-  said_ = trouble;
+  logged_error_ = trouble;
 }
 
 asio::awaitable<void> ConsulWatch::run() {
   while (!stopped_) {
-    co_await rest(budget_.take(steady_now()) - steady_now());
+    co_await sleep_for(budget_.reserve(steady_now()) - steady_now());
     if (stopped_) break;
-    trouble_.clear();
-    const bool good = co_await ask();
+    error_.clear();
+    const bool good = co_await run_query();
     if (stopped_) break;
     if (!good) ++counters_.consul_errors;
-    say_trouble(good ? std::string() : trouble_);
-    if (good && reader_.complaint() != complained_) {
-      complained_ = reader_.complaint();
-      if (!complained_.empty()) {
+    log_error_change(good ? std::string() : error_);
+    if (good && reader_.first_problem() != logged_problem_) {
+      logged_problem_ = reader_.first_problem();
+      if (!logged_problem_.empty()) {
         log_("consul", service_.name + ": " + std::to_string(reader_.unusable()) +
-                           " hosts cannot be used, among them " + complained_);
+                           " hosts cannot be used, among them " + logged_problem_);
       }
     }
-    if (!good) co_await rest(plan_.pause());
+    if (!good) co_await sleep_for(plan_.pause());
   }
   client_.close();
 }
--- a/src/consul/drain_agent.cpp
+++ b/src/consul/drain_agent.cpp
@@ -6,41 +6,41 @@
 namespace fennellane {
 
 DrainAgent::DrainAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-                       const Limits& limits, Counters& counters, Log& log, Tell tell)
-    : FleetTasks(io, std::move(tell)),
+                       const Limits& limits, Counters& counters, Log& log, OnInput tell)
+    : FleetAgentBase(io, std::move(tell)),
       consul_(consul),
       settings_(settings),
       limits_(limits),
       counters_(counters),
       log_(log),
-      calls_(io, consul, limits, limits.fleet_answer, limits.fleet_value),
-      due_(io) {
-  calls_.report_strays(counters.agent_strays, log);
+      client_(io, consul, limits, limits.max_fleet_answer, limits.max_consul_value),
+      timer_(io) {
+  client_.report_strays(counters.agent_strays, log);
 }
 
-void DrainAgent::carry(const drain::Effect& effect) {
+void DrainAgent::execute(const drain::Effect& effect) {
   std::visit([this](const auto& e) { on(e); }, effect);
 }
 
-void DrainAgent::on(const drain::MakeSession& e) {
+void DrainAgent::on(const drain::CreateSession& e) {
   spawn([this, e]() -> asio::awaitable<void> {
     const drain::SlotSettings& slot = settings_.drain->slot;
     const Time sent = steady_now();
     // Its contender key goes with it, so that nothing is left of those that came and went. It needs no
     // lock-delay: nobody else ever wants that key.
     const std::string body = session_json(slot.relay + " slot", "delete", e.ttl, Time(0));
-    const std::string id = co_await create_session(calls_, body, slot.call);
+    const std::string id = co_await create_session(client_, body, slot.call);
     if (id.empty()) {
-      hear(drain::CallFailed{});
+      post_drain_input(drain::CallFailed{});
       co_return;
     }
-    const AgentAnswer contends = co_await calls_.ask(
+    const AgentAnswer contends = co_await client_.request(
         "PUT", "/v1/kv/" + budget_prefix(settings_) + id + "?acquire=" + id, slot.relay, slot.call);
     if (contends.status == 200 && contends.body.starts_with("true")) {
-      hear(drain::SessionMade{id, sent});
+      post_drain_input(drain::SessionCreated{id, sent});
     } else {
-      co_await destroy_session(calls_, id, slot.call);
-      hear(drain::CallFailed{});
+      co_await destroy_session(client_, id, slot.call);
+      post_drain_input(drain::CallFailed{});
     }
   });
 }
@@ -48,11 +48,11 @@
 void DrainAgent::on(const drain::Renew& e) {
   spawn([this, session = e.session]() -> asio::awaitable<void> {
     const Time sent = steady_now();
-    const std::optional<bool> alive = co_await renew_session(calls_, session, settings_.drain->slot.call);
+    const std::optional<bool> alive = co_await renew_session(client_, session, settings_.drain->slot.call);
     if (alive) {
-      hear(drain::RenewAnswer{*alive, sent});
+      post_drain_input(drain::RenewAnswer{*alive, sent});
     } else {
-      hear(drain::CallFailed{});
+      post_drain_input(drain::CallFailed{});
     }
   });
 }
@@ -63,55 +63,55 @@
   const auto take = [this](const AgentAnswer& answer, bool) {
     drain::BudgetSeen seen;
     if (answer.status == 200 && !read_semaphore(answer.body, budget_prefix(settings_), seen)) return false;
-    hear(std::move(seen));
+    post_drain_input(std::move(seen));
     return true;
   };
-  watch_ =
-      std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, budget_prefix(settings_),
-                                 KeyWatch::What::below, settings_.drain->slot.call, settings_.wait, take);
+  watch_ = std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, budget_prefix(settings_),
+                                      KeyWatch::ReadMode::subtree, settings_.drain->slot.call,
+                                      settings_.blocking_wait, take);
   watch_->start();
 }
 
 void DrainAgent::on(const drain::ReadCensus&) {
   spawn([this]() -> asio::awaitable<void> {
     const std::string& service = settings_.drain->service;
-    const AgentAnswer answer = co_await calls_.ask("GET", "/v1/health/service/" + service + "?consistent", "",
-                                                   settings_.drain->slot.call);
+    const AgentAnswer answer = co_await client_.request(
+        "GET", "/v1/health/service/" + service + "?consistent", "", settings_.drain->slot.call);
     drain::CensusRead read;
-    read.good = answer.status == 200 && read_census(answer.body, service, read.census);
-    hear(std::move(read));
+    read.ok = answer.status == 200 && read_census(answer.body, service, read.census);
+    post_drain_input(std::move(read));
   });
 }
 
-void DrainAgent::on(const drain::TakeSlot& e) {
+void DrainAgent::on(const drain::AcquireSlot& e) {
   spawn([this, e]() -> asio::awaitable<void> {
     Json::Value operations(Json::arrayValue);
-    operations.append(fence(budget_prefix(settings_) + e.session, e.session));
-    operations.append(set_key_as_read(budget_key(settings_), e.index, budget_json(e.next)));
+    operations.append(session_check_operation(budget_prefix(settings_) + e.session, e.session));
+    operations.append(cas_operation(budget_key(settings_), e.index, budget_json(e.next)));
     const AgentAnswer answer =
-        co_await calls_.ask("PUT", "/v1/txn", json_text(operations), settings_.drain->slot.call);
-    const lease::Written how = written(answer);
-    if (how == lease::Written::failed) {
-      hear(drain::CallFailed{});
+        co_await client_.request("PUT", "/v1/txn", json_text(operations), settings_.drain->slot.call);
+    const lease::WriteResult how = transaction_result(answer);
+    if (how == lease::WriteResult::unknown) {
+      post_drain_input(drain::CallFailed{});
     } else {
-      hear(drain::SlotAnswer{how == lease::Written::taken});
+      post_drain_input(drain::SlotAnswer{how == lease::WriteResult::accepted});
     }
   });
 }
 
-void DrainAgent::on(const drain::EndSession& e) {
+void DrainAgent::on(const drain::DestroySession& e) {
   spawn([this, session = e.session]() -> asio::awaitable<void> {
-    const bool ended = co_await destroy_session(calls_, session, settings_.drain->slot.call);
+    const bool ended = co_await destroy_session(client_, session, settings_.drain->slot.call);
     if (ended) {
-      hear(drain::Done{});
+      post_drain_input(drain::SessionDestroyed{});
     } else {
-      hear(drain::CallFailed{});
+      post_drain_input(drain::CallFailed{});
     }
   });
 }
 
 void DrainAgent::on(const drain::SetTimer& e) {
-  set(due_, e.at, [] { return fleet::Input(fleet::DrainHeard{drain::TimeDue{}}); });
+  set_timer(timer_, e.at, [] { return fleet::Input(fleet::DrainInput{drain::TimerExpired{}}); });
 }
 
 }  // namespace fennellane
--- a/src/consul/drain_agent.hpp
+++ b/src/consul/drain_agent.hpp
@@ -7,42 +7,42 @@
 #include <asio/steady_timer.hpp>
 #include <memory>
 
+#include "fleet_agent_base.hpp"
 #include "fleet_settings.hpp"
-#include "fleet_tasks.hpp"
 #include "key_watch.hpp"
 #include "log.hpp"
 
 namespace fennellane {
 
-class DrainAgent : public FleetTasks {
+class DrainAgent : public FleetAgentBase {
  public:
   // `settings` has a section drain; the references outlive it.
   DrainAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-             const Limits& limits, Counters& counters, Log& log, Tell tell);
+             const Limits& limits, Counters& counters, Log& log, OnInput tell);
 
   // Of all but GoOut.
-  void carry(const drain::Effect& effect);
+  void execute(const drain::Effect& effect);
 
  private:
-  void on(const drain::MakeSession& e);
+  void on(const drain::CreateSession& e);
   void on(const drain::Renew& e);
   void on(const drain::WatchBudget& e);
   void on(const drain::ReadCensus& e);
-  void on(const drain::TakeSlot& e);
-  void on(const drain::EndSession& e);
-  void on(const drain::GoOut&) {}
+  void on(const drain::AcquireSlot& e);
+  void on(const drain::DestroySession& e);
+  void on(const drain::GoOffline&) {}
   void on(const drain::SetTimer& e);
-  void on(const drain::Say& e) { log_("drain", e.text); }
-  void hear(drain::Input input) { tell_later(fleet::DrainHeard{std::move(input)}); }
+  void on(const drain::LogMessage& e) { log_("drain", e.text); }
+  void post_drain_input(drain::Input input) { post_input(fleet::DrainInput{std::move(input)}); }
 
   const ConsulSettings& consul_;
   const FleetSettings& settings_;
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  AgentCall calls_;  // one at a time
+  AgentClient client_;  // one at a time
   std::shared_ptr<KeyWatch> watch_;
-  asio::steady_timer due_;
+  asio::steady_timer timer_;
 };
 
 }  // namespace fennellane
--- a/src/consul/fleet_agent.hpp
+++ b/src/consul/fleet_agent.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 #include "counters.hpp"
 #include "drain_agent.hpp"
 #include "ejection_agent.hpp"
+#include "fleet_agent_base.hpp"
 #include "fleet_settings.hpp"
-#include "fleet_tasks.hpp"
 #include "key_watch.hpp"
 #include "log.hpp"
 #include "release_agent.hpp"
@@ -24,60 +24,63 @@
 
 // The bodies and answers of Consul's API that it uses.
 // Of the answer to GET /v1/kv/KEY; false where it can't be read.
-bool read_key(const std::string& body, lease::KeySeen& seen);
+bool read_key(const std::string& body, lease::KeyRead& seen);
 // Of GET /v1/health/service/NAME; false where it can't be read.
 bool read_registrations(const std::string& body, std::vector<fleet::Registration>& all);
 // One transaction: the role's lock is this session's, then each registration goes as it was read.
-std::string removal_json(const std::string& key, const fleet::RemoveRegistrations& removal);
+std::string removal_transaction_json(const std::string& key, const fleet::RemoveRegistrations& removal);
 
 // The two values of the shared list; `list` stays empty for the beat.
-bool read_shared(const std::string& body, fleet::SharedHead& head, std::string& list);
-std::string share_json(const std::string& role, const std::string& list, const std::string& beat,
-                       const fleet::Publish& publish);
+bool parse_shared_list(const std::string& body, fleet::SharedHead& head, std::string& list);
+std::string publish_transaction_json(const std::string& role, const std::string& list,
+                                     const std::string& beat, const fleet::Publish& publish);
 
-class FleetAgent : public FleetTasks {
+class FleetAgent : public FleetAgentBase {
  public:
   FleetAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-             const std::string& relay, const Limits& limits, Counters& counters, Log& log, Tell tell);
+             const std::string& relay, const Limits& limits, Counters& counters, Log& log, OnInput tell);
 
   void start();
-  void carry(const fleet::Effect& effect);
+  void execute(const fleet::Effect& effect);
 
  private:
   struct Role {
     Role(asio::io_context& io, const ConsulSettings& consul, const Limits& limits, std::string role,
          std::string role_key)
-        : name(std::move(role)), key(std::move(role_key)), calls(io, consul, limits, limits.body), due(io) {}
+        : name(std::move(role)),
+          key(std::move(role_key)),
+          client(io, consul, limits, limits.max_body_size),
+          timer(io) {}
     const std::string name, key;
-    AgentCall calls;  // the lease's, one at a time
-    asio::steady_timer due;
+    AgentClient client;  // the lease's, one at a time
+    asio::steady_timer timer;
   };
-  void on(const fleet::LeaseDo& e);
+  void on(const fleet::LeaseEffect& e);
   void on(const fleet::ReadRegistrations& e);
   void on(const fleet::RemoveRegistrations& e);
-  void on(const fleet::SetWorkTimer& e);
-  void on(const fleet::Swept& e) { log_("sweep", e.text); }
-  void on(const fleet::DrainDo& e);
-  void on(const fleet::MoverDo& e);
-  void on(const fleet::CoordinatorDo& e);
-  void on(const fleet::ReporterDo& e);
-  void on(const fleet::ArbiterDo& e);
-  void carry(std::uint32_t role, const lease::CreateSession& e);
-  void carry(std::uint32_t role, const lease::Acquire& e);
-  void carry(std::uint32_t role, const lease::Renew& e);
-  void carry(std::uint32_t role, const lease::Release& e);
-  void carry(std::uint32_t role, const lease::Act& e);
-  void carry(std::uint32_t role, const lease::Stop& e);
-  void carry(std::uint32_t role, const lease::SetTimer& e);
-  void carry(std::uint32_t role, const lease::Say& e);
-  void on(const fleet::RefreshDo& e);
-  void carry(const fleet::Publish& e);
-  void read_list();
+  void on(const fleet::SetSweepTimer& e);
+  void on(const fleet::SweepLogMessage& e) { log_("sweep", e.text); }
+  void on(const fleet::DrainEffect& e);
+  void on(const fleet::MoverEffect& e);
+  void on(const fleet::CoordinatorEffect& e);
+  void on(const fleet::ReporterEffect& e);
+  void on(const fleet::ArbiterEffect& e);
+  void execute(std::uint32_t role, const lease::CreateSession& e);
+  void execute(std::uint32_t role, const lease::AcquireLock& e);
+  void execute(std::uint32_t role, const lease::RenewSession& e);
+  void execute(std::uint32_t role, const lease::ReleaseSession& e);
+  void execute(std::uint32_t role, const lease::LeaseActive& e);
+  void execute(std::uint32_t role, const lease::LeaseInactive& e);
+  void execute(std::uint32_t role, const lease::SetTimer& e);
+  void execute(std::uint32_t role, const lease::LogMessage& e);
+  void on(const fleet::RefreshRoleEffect& e);
+  void execute(const fleet::Publish& e);
+  void read_shared_list();
   void watch_role(std::uint32_t role);
-  void watch_beat();
-  std::string list_key() const { return settings_.prefix + "/refresh/list"; }
-  std::string beat_key() const { return settings_.prefix + "/refresh/beat"; }
-  void hear(std::uint32_t role, lease::Input input);
+  void watch_heartbeat();
+  std::string list_key() const { return settings_.key_prefix + "/refresh/list"; }
+  std::string heartbeat_key() const { return settings_.key_prefix + "/refresh/beat"; }
+  void post_lease_input(std::uint32_t role, lease::Input input);
 
   const ConsulSettings consul_;
   const FleetSettings settings_;
@@ -86,10 +89,10 @@
   Counters& counters_;
   Log& log_;
   std::vector<std::unique_ptr<Role>> roles_;
-  AgentCall work_;
-  asio::steady_timer work_due_;
-  AgentCall shares_, lists_;  // writes and reads of the shared list
-  asio::steady_timer refresh_due_;
+  AgentClient sweep_client_;
+  asio::steady_timer sweep_timer_;
+  AgentClient publish_client_, list_client_;  // writes and reads of the shared list
+  asio::steady_timer refresh_timer_;
   std::shared_ptr<DrainAgent> drain_;        // null where no slot is sought
   std::shared_ptr<ReleaseAgent> release_;    // where there are no releases
   std::shared_ptr<EjectionAgent> ejection_;  // where there is no cap on endpoints out
--- a/src/consul/fleet_tasks.hpp
+++ b/src/consul/fleet_agent_base.hpp
@@ -11,19 +11,19 @@
 #include <memory>
 #include <utility>
 
-#include "client.hpp"
 #include "clock.hpp"
+#include "http_client.hpp"
 #include "roles.hpp"
 
 namespace fennellane {
 
-class FleetTasks : public std::enable_shared_from_this<FleetTasks> {
+class FleetAgentBase : public std::enable_shared_from_this<FleetAgentBase> {
  public:
-  using Tell = std::function<void(fleet::Input)>;
+  using OnInput = std::function<void(fleet::Input)>;
 
  protected:
-  FleetTasks(asio::io_context& io, Tell tell) : io_(io), tell_(std::move(tell)) {}
-  ~FleetTasks() = default;
+  FleetAgentBase(asio::io_context& io, OnInput tell) : io_(io), on_input_(std::move(tell)) {}
+  ~FleetAgentBase() = default;
 
   // The lambda is the coroutine's own, and keeps this object until it has returned.
   template <class Run>
@@ -32,21 +32,21 @@
         io_, [self = shared_from_this(), run]() -> asio::awaitable<void> { co_await run(); }, rethrow);
   }
   // In a turn of its own: an answer may be there before the effects of this input have been carried out.
-  void tell_later(fleet::Input input) {
+  void post_input(fleet::Input input) {
     asio::post(io_, [self = shared_from_this(), heard = std::move(input)]() mutable {
-      self->tell_(std::move(heard));
+      self->on_input_(std::move(heard));
     });
   }
-  void set(asio::steady_timer& timer, Time at, std::function<fleet::Input()> due) {
-    timer.expires_at(steady_moment(at));
+  void set_timer(asio::steady_timer& timer, Time at, std::function<fleet::Input()> due) {
+    timer.expires_at(to_time_point(at));
     timer.async_wait([weak = weak_from_this(), what = std::move(due)](asio::error_code error) {
       const auto self = weak.lock();
-      if (!error && self) self->tell_(what());
+      if (!error && self) self->on_input_(what());
     });
   }
 
   asio::io_context& io_;
-  const Tell tell_;
+  const OnInput on_input_;
 };
 
 }  // namespace fennellane
--- a/src/consul/fleet_values.cpp
+++ b/src/consul/fleet_values.cpp
@@ -8,7 +8,7 @@
 namespace fennellane {
 namespace {
 
-constexpr std::size_t kMostWaves = 100;
+constexpr std::size_t kMaxWaves = 100;
 
 Json::Value sums_value(const release::Sums& sums) {
   Json::Value out;
@@ -41,7 +41,7 @@
 
 std::string budget_json(const drain::Budget& budget) {
   Json::Value out;
-  out["Limit"]["most"] = budget.cap.most;
+  out["Limit"]["most"] = budget.cap.max_relays;
   out["Limit"]["per_zone"] = budget.cap.per_zone;
   out["Limit"]["percent"] = budget.cap.percent;
   out["Holders"] = Json::Value(Json::objectValue);
@@ -74,7 +74,7 @@
       const std::string name = key.substr(std::min(prefix.size(), key.size()));
       if (name == ".lock") {
         seen.index = entry["ModifyIndex"].asUInt64();
-        seen.budget = read_budget(value_of(entry));
+        seen.budget = read_budget(decoded_value(entry));
         if (!seen.budget) return false;  // no slot is taken of a budget that can't be read
       } else if (entry.get("Session", "").asString() == name && !name.empty()) {
         seen.contenders.push_back({name, entry["CreateIndex"].asUInt64()});
@@ -114,7 +114,7 @@
   out["waves"] = Json::Value(Json::arrayValue);
   for (const auto& wave : s.waves) out["waves"].append(names_value(wave));
   out["auto_back"] = s.auto_back;
-  out["why"] = s.why;
+  out["why"] = s.reason;
   out["base"] = sums_value(s.base);
   return json_text(out);
 }
@@ -130,12 +130,12 @@
     s.wave = v["wave"].asUInt();
     for (const Json::Value& wave : v["waves"]) s.waves.push_back(names_of(wave));
     s.auto_back = v["auto_back"].asBool();
-    s.why = v["why"].asString();
+    s.reason = v["why"].asString();
     s.base = sums_of(v["base"]);
     if (phase) s.phase = *phase;
     // Guards the relay against starting a program that lies elsewhere.
-    return phase && !s.id.empty() && plain_name(s.from) && plain_name(s.to) && s.waves.size() <= kMostWaves &&
-           release::steps_problem(s.steps).empty();
+    return phase && !s.id.empty() && is_plain_name(s.from) && is_plain_name(s.to) &&
+           s.waves.size() <= kMaxWaves && release::steps_problem(s.steps).empty();
   });
   return good ? std::optional(std::move(s)) : std::nullopt;
 }
@@ -146,7 +146,7 @@
   out["zone"] = r.zone;
   out["release"] = r.release;
   out["build"] = r.build;
-  out["beat"] = Json::UInt64(r.beat);
+  out["beat"] = Json::UInt64(r.heartbeat);
   out["trouble"] = r.trouble;
   out["waits"] = r.waits;
   out["sums"] = sums_value(r.sums);
@@ -158,7 +158,7 @@
     if (!all.isArray()) return false;
     for (const Json::Value& entry : all) {
       release::Report r;
-      const bool good = with_json(value_of(entry), [&r](const Json::Value& v) {
+      const bool good = with_json(decoded_value(entry), [&r](const Json::Value& v) {
         r = {v["relay"].asString(), v["zone"].asString(),    v["release"].asString(), v["build"].asString(),
              v["beat"].asUInt64(),  v["trouble"].asString(), v["waits"].asString(),   sums_of(v["sums"])};
         return !r.relay.empty();
--- a/src/consul/key_watch.hpp
+++ b/src/consul/key_watch.hpp
@@ -9,19 +9,23 @@
 #include <memory>
 #include <string>
 
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 #include "counters.hpp"
 
 namespace fennellane {
 
 class KeyWatch : public std::enable_shared_from_this<KeyWatch> {
  public:
-  enum class What { key, value, below };  // with what Consul says of it; the value alone; all below a prefix
+  enum class ReadMode {
+    key,
+    value,
+    subtree
+  };  // with what Consul says of it; the value alone; all below a prefix
   // False: the answer is none that can be read. `afresh`: Consul's index has gone backwards.
-  using Take = std::function<bool(const AgentAnswer&, bool afresh)>;
+  using OnAnswer = std::function<bool(const AgentAnswer&, bool afresh)>;
   // A read waits for a change for `wait` at most, and every other call for `call`.
   KeyWatch(asio::io_context& io, const ConsulSettings& consul, const Limits& limits, Counters& counters,
-           Log& log, std::string key, What what, Time call, Time wait, Take take);
+           Log& log, std::string key, ReadMode what, Time call, Time wait, OnAnswer take);
 
   void start();
   void stop();  // no answer is taken after it
@@ -33,11 +37,11 @@
   const Limits& limits_;
   Counters& counters_;
   const std::string key_;
-  const What what_;
+  const ReadMode mode_;
   const Time call_, wait_;
-  const Take take_;
-  AgentCall reads_;
-  asio::steady_timer pause_;
+  const OnAnswer on_answer_;
+  AgentClient client_;
+  asio::steady_timer retry_timer_;
   bool stopped_ = false;
 };
 
--- a/src/consul/list_store.cpp
+++ b/src/consul/list_store.cpp
@@ -20,21 +20,21 @@
 namespace fennellane {
 namespace {
 
-constexpr const char* kName = "consul.list";
-constexpr const char* kNewName = "consul.list.new";
+constexpr const char* kFileName = "consul.list";
+constexpr const char* kTemporaryFileName = "consul.list.new";
 constexpr const char* kFirstLine = "fennellane consul list 1";
-constexpr std::size_t kMostText = 64 * kMiB;
-constexpr int kLevel = 1;
+constexpr std::size_t kMaxTextBytes = 64 * kMiB;
+constexpr int kCompressionLevel = 1;
 
-constexpr const char* kHealth[] = {"passing", "warning", "critical", "maintenance"};
+constexpr const char* kHealthNames[] = {"passing", "warning", "critical", "maintenance"};
 
-std::string failure(const char* what) { return std::string(what) + ": " + std::strerror(errno); }
+std::string errno_message(const char* what) { return std::string(what) + ": " + std::strerror(errno); }
 
 std::string compress(const std::string& text) {
   std::string packed(ZSTD_compressBound(text.size()), '\0');
   const std::unique_ptr<ZSTD_CCtx, std::size_t (*)(ZSTD_CCtx*)> context(ZSTD_createCCtx(), ZSTD_freeCCtx);
   ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
-  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kLevel);
+  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kCompressionLevel);
   const std::size_t size =
       ZSTD_compress2(context.get(), packed.data(), packed.size(), text.data(), text.size());
   packed.resize(ZSTD_isError(size) ? 0 : size);
@@ -44,13 +44,13 @@
 // Empty for what is damaged.
 std::string decompress(const std::string& packed) {
   const unsigned long long size = ZSTD_getFrameContentSize(packed.data(), packed.size());
-  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMostText) return "";
+  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxTextBytes) return "";
   std::string text(static_cast<std::size_t>(size), '\0');
   const std::size_t got = ZSTD_decompress(text.data(), text.size(), packed.data(), packed.size());
   return ZSTD_isError(got) || got != text.size() ? "" : text;
 }
 
-Json::Value parse(const std::string& line) {
+Json::Value parse_line(const std::string& line) {
   Json::CharReaderBuilder builder;
   const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   Json::Value value;
@@ -61,15 +61,15 @@
 }  // namespace
 
 ListStore::ListStore(const std::string& folder, std::uint64_t most_bytes)
-    : folder_(folder), most_bytes_(most_bytes) {}
+    : folder_(folder), max_bytes_(most_bytes) {}
 
 std::string ListStore::save(const Membership& membership, const ConsulSettings& settings,
                             const NamePositions& names) {
-  if (most_bytes_ == 0) return "";
+  if (max_bytes_ == 0) return "";
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   std::string text = std::string(kFirstLine) + "\n";
-  membership.each_instance([&](std::uint32_t service, const Instance& i) {
+  membership.for_each_instance([&](std::uint32_t service, const Instance& i) {
     Json::Value line;
     line["service"] = settings.services[service].name;
     line["id"] = i.id;
@@ -80,23 +80,24 @@
     line["rate"] = i.rate;
     line["passing"] = i.weight_passing;
     line["warning"] = i.weight_warning;
-    line["health"] = kHealth[static_cast<std::size_t>(i.health)];
+    line["health"] = kHealthNames[static_cast<std::size_t>(i.health)];
     text += Json::writeString(builder, line) + "\n";
   });
   const std::string packed = compress(text);
   if (packed.empty()) return "cannot compress the list";
-  if (packed.size() > most_bytes_) {
+  if (packed.size() > max_bytes_) {
     return "the list takes " + std::to_string(packed.size()) + " bytes and may take " +
-           std::to_string(most_bytes_) + ": it is not kept";
+           std::to_string(max_bytes_) + ": it is not kept";
   }
-  if (!replace_file(path(kName), path(kNewName), packed)) return failure("cannot keep the list");
+  if (!replace_file(path(kFileName), path(kTemporaryFileName), packed))
+    return errno_message("cannot keep the list");
   return "";
 }
 
 std::string ListStore::load(const ConsulSettings& settings, const NamePositions& names,
-                            const Take& take) const {
-  ::unlink(path(kNewName).c_str());  // of a crash
-  std::ifstream file(path(kName), std::ios::binary);
+                            const OnInstance& take) const {
+  ::unlink(path(kTemporaryFileName).c_str());  // of a crash
+  std::ifstream file(path(kFileName), std::ios::binary);
   if (!file) return "";
   std::ostringstream packed;
   packed << file.rdbuf();
@@ -107,22 +108,22 @@
   }
   try {
     while (std::getline(text, line)) {
-      const Json::Value in = parse(line);
+      const Json::Value in = parse_line(line);
       const std::string name = in["service"].asString(), health = in["health"].asString();
       const auto service = std::find_if(settings.services.begin(), settings.services.end(),
                                         [&name](const ConsulService& s) { return s.name == name; });
-      const auto known = std::find(std::begin(kHealth), std::end(kHealth), health);
-      if (service == settings.services.end() || known == std::end(kHealth)) continue;
+      const auto known = std::find(std::begin(kHealthNames), std::end(kHealthNames), health);
+      if (service == settings.services.end() || known == std::end(kHealthNames)) continue;
       Instance i;
       i.id = in["id"].asString();
-      i.address = numeric_address(in["address"].asString());
+      i.address = parse_numeric_address(in["address"].asString());
       i.zone = position_of(names.zones, in["zone"].asString());
       i.kind = position_of(names.kinds, in["kind"].asString());
       i.destination = std::min(in["destination"].asUInt(), 65535u);
       i.rate = in["rate"].asDouble();
       i.weight_passing = in["passing"].asDouble();
       i.weight_warning = in["warning"].asDouble();
-      i.health = static_cast<HostHealth>(known - std::begin(kHealth));
+      i.health = static_cast<HostHealth>(known - std::begin(kHealthNames));
       take(static_cast<std::uint32_t>(service - settings.services.begin()), i);
     }
   } catch (const std::exception& e) {
--- a/src/consul/list_store.hpp
+++ b/src/consul/list_store.hpp
@@ -21,13 +21,13 @@
   std::string save(const Membership& membership, const ConsulSettings& settings, const NamePositions& names);
   // Hands on what the file holds of the services that the settings name. Returns what is wrong, or nothing; a
   // file that cannot be read is as none.
-  using Take = std::function<void(std::uint32_t service, const Instance&)>;
-  std::string load(const ConsulSettings& settings, const NamePositions& names, const Take& take) const;
+  using OnInstance = std::function<void(std::uint32_t service, const Instance&)>;
+  std::string load(const ConsulSettings& settings, const NamePositions& names, const OnInstance& take) const;
 
  private:
   std::string path(const char* name) const { return folder_ + "/" + name; }
   const std::string folder_;
-  const std::uint64_t most_bytes_;
+  const std::uint64_t max_bytes_;
 };
 
 }  // namespace fennellane
--- a/src/consul/owners.cpp
+++ b/src/consul/owners.cpp
@@ -2,31 +2,31 @@
 
 #include <iomanip>
 
-#include "agent_question.hpp"
+#include "agent_query.hpp"
 
 namespace fennellane {
 namespace {
 
 // A session's name is "RELAY ROLE".
 std::string relay_of(const AgentAnswer& info) {
-  const Json::Value list = json_of(info.body).value_or(Json::Value());
+  const Json::Value list = parse_json_text(info.body).value_or(Json::Value());
   if (info.status != 200 || !list.isArray() || list.empty()) return "?";
   const std::string name = list[0].get("Name", "?").asString();
   return name.substr(0, name.rfind(' '));
 }
 
-asio::awaitable<void> ask(AgentCall& call, const FleetSettings& settings, std::ostream& out,
-                          std::string& trouble) {
-  const std::string below = settings.prefix + "/role/";
+asio::awaitable<void> query_owners(AgentClient& call, const FleetSettings& settings, std::ostream& out,
+                                   std::string& trouble) {
+  const std::string below = settings.key_prefix + "/role/";
   const AgentAnswer keys =
-      co_await call.ask("GET", "/v1/kv/" + below + "?recurse&consistent", "", settings.timing.call);
+      co_await call.request("GET", "/v1/kv/" + below + "?recurse&consistent", "", settings.timing.call);
   if (keys.status == 404) {
     trouble = "no role has ever been held below " + below;
     co_return;
   }
-  const Json::Value list = json_of(keys.body).value_or(Json::Value());
+  const Json::Value list = parse_json_text(keys.body).value_or(Json::Value());
   if (keys.status != 200 || !list.isArray()) {
-    trouble = not_answered(keys);
+    trouble = no_answer_message(keys);
     co_return;
   }
   for (const Json::Value& key : list) {
@@ -39,7 +39,7 @@
       continue;
     }
     const AgentAnswer info =
-        co_await call.ask("GET", "/v1/session/info/" + session, "", settings.timing.call);
+        co_await call.request("GET", "/v1/session/info/" + session, "", settings.timing.call);
     out << std::setw(20) << relay_of(info) << " token " << key["LockIndex"].asUInt64() << " session "
         << session << "\n";
   }
@@ -49,8 +49,8 @@
 
 bool print_owners(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
                   std::ostream& out, std::string& trouble) {
-  return with_agent(consul, limits, 0, trouble, [&](AgentCall& call) -> asio::awaitable<void> {
-    co_await ask(call, settings, out, trouble);
+  return run_agent_query(consul, limits, 0, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
+    co_await query_owners(call, settings, out, trouble);
   });
 }
 
--- a/src/consul/registration.cpp
+++ b/src/consul/registration.cpp
@@ -5,7 +5,7 @@
 #include <asio/redirect_error.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "agent_call.hpp"
+#include "agent_client.hpp"
 
 namespace fennellane {
 std::string registration_json(const ConsulRegistration& registration, const std::string& id) {
@@ -13,7 +13,7 @@
   check["CheckID"] = "service:" + id;
   check["Name"] = "ready";
   check["TTL"] = milliseconds_text(registration.ttl);
-  check["DeregisterCriticalServiceAfter"] = milliseconds_text(registration.forget_after);
+  check["DeregisterCriticalServiceAfter"] = milliseconds_text(registration.deregister_after);
   Json::Value body;
   body["Name"] = registration.service;
   body["ID"] = id;
@@ -33,9 +33,9 @@
       limits_(limits),
       counters_(counters),
       log_(log),
-      client_(io, settings_.agent, limits, limits.body),
+      client_(io, settings_.agent, limits, limits.max_body_size),
       pause_(io) {
-  client_.report_strays(counters.agent_strays, log);
+  client_.enable_stray_reporting(counters.agent_strays, log);
 }
 
 void Registration::start() {
@@ -56,7 +56,7 @@
   pause_.cancel();
 }
 
-asio::awaitable<void> Registration::rest(Time span) {
+asio::awaitable<void> Registration::sleep_for(Time span) {
   if (leaving_) co_return;
   pause_.expires_after(span);
   asio::error_code cut_short;
@@ -65,12 +65,13 @@
 
 asio::awaitable<unsigned> Registration::put(std::string target, std::string body) {
   if (!client_.open()) {
-    const bool connected = co_await client_.connect(limits_.agent_write);
+    const bool connected = co_await client_.connect(limits_.agent_write_timeout);
     if (!connected) co_return 0;
   }
-  const bool sent = co_await client_.send(agent_request(settings_, "PUT", target, body), limits_.agent_write);
+  const bool sent =
+      co_await client_.send(agent_request(settings_, "PUT", target, body), limits_.agent_write_timeout);
   bool answered = false;
-  if (sent) answered = co_await client_.read_answer(limits_.agent_write);
+  if (sent) answered = co_await client_.read_answer(limits_.agent_write_timeout);
   const unsigned status = answered ? client_.answer().status() : 0;
   client_.answer().take_body();
   if (status != 200) client_.close();
@@ -79,7 +80,7 @@
 
 asio::awaitable<void> Registration::run() {
   const Time beat = settings_.registration->ttl / 3;
-  Time backoff = limits_.backoff_least;
+  Time backoff = limits_.backoff_min;
   while (!leaving_) {
     unsigned status = 0;
     if (!registered_) {
@@ -96,16 +97,16 @@
     if (status == 200) {
       if (failing_) log_("consul", "registration: in place again");
       failing_ = false;
-      backoff = limits_.backoff_least;
-      ++counters_.consul_beats;
+      backoff = limits_.backoff_min;
+      ++counters_.consul_heartbeats;
       const bool was_ready = ready_;
-      co_await rest(beat);
+      co_await sleep_for(beat);
       if (was_ready == ready_) continue;
     } else {
       if (!failing_) log_("consul", "registration: status " + std::to_string(status) + "; it is tried again");
       failing_ = true;
-      co_await rest(backoff);
-      backoff = std::min(backoff * 2, limits_.backoff_most);
+      co_await sleep_for(backoff);
+      backoff = std::min(backoff * 2, limits_.backoff_max);
     }
   }
   if (registered_) {
--- a/src/consul/registration.hpp
+++ b/src/consul/registration.hpp
@@ -9,9 +9,9 @@
 #include <memory>
 #include <string>
 
-#include "client.hpp"
 #include "consul_settings.hpp"
 #include "counters.hpp"
+#include "http_client.hpp"
 #include "log.hpp"
 
 namespace fennellane {
@@ -37,7 +37,7 @@
  private:
   asio::awaitable<void> run();
   asio::awaitable<unsigned> put(std::string target, std::string body);  // the answer's status, or 0
-  asio::awaitable<void> rest(Time span);
+  asio::awaitable<void> sleep_for(Time span);
 
   asio::io_context& io_;
   const ConsulSettings settings_;
@@ -45,7 +45,7 @@
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  Client client_;
+  HttpClient client_;
   asio::steady_timer pause_;
   bool registered_ = false;
   bool ready_ = false;
--- a/src/consul/release_agent.cpp
+++ b/src/consul/release_agent.cpp
@@ -6,32 +6,32 @@
 namespace fennellane {
 
 release::Sums sums_of(const Counters& c) {
-  return {c.taken + c.refused, c.refused, c.delivered + c.deferred + c.undeliverable,
+  return {c.accepted + c.refused, c.refused, c.delivered + c.deferred + c.undeliverable,
           c.deferred + c.undeliverable, c.late};
 }
 
-std::string step_json(const FleetSettings& settings, const release::WriteState& step) {
+std::string state_transaction_json(const FleetSettings& settings, const release::WriteState& step) {
   Json::Value operations(Json::arrayValue);
-  operations.append(fence(role_key(settings, fleet::kDrainRole), step.session));
-  operations.append(set_key_as_read(release_key(settings), step.index, state_json(step.state)));
-  if (step.clears_reports) operations.append(delete_below(reports_prefix(settings)));
+  operations.append(session_check_operation(role_key(settings, fleet::kDrainRole), step.session));
+  operations.append(cas_operation(release_key(settings), step.index, state_json(step.state)));
+  if (step.clears_reports) operations.append(delete_tree_operation(reports_prefix(settings)));
   return json_text(operations);
 }
 
 ReleaseAgent::ReleaseAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-                           const Limits& limits, Counters& counters, Log& log, Tell tell)
-    : FleetTasks(io, std::move(tell)),
+                           const Limits& limits, Counters& counters, Log& log, OnInput tell)
+    : FleetAgentBase(io, std::move(tell)),
       consul_(consul),
       settings_(settings),
       limits_(limits),
       counters_(counters),
       log_(log),
-      reports_(io, consul, limits, limits.body),
-      steps_(io, consul, limits, limits.fleet_answer, limits.fleet_value * 2),
-      report_due_(io),
-      look_due_(io) {
-  reports_.report_strays(counters.agent_strays, log);
-  steps_.report_strays(counters.agent_strays, log);
+      report_client_(io, consul, limits, limits.max_body_size),
+      coordinator_client_(io, consul, limits, limits.max_fleet_answer, limits.max_consul_value * 2),
+      report_timer_(io),
+      check_timer_(io) {
+  report_client_.report_strays(counters.agent_strays, log);
+  coordinator_client_.report_strays(counters.agent_strays, log);
 }
 
 void ReleaseAgent::start() {
@@ -41,59 +41,60 @@
       std::string text;
       if (!read_entry(answer.body, text, seen.index)) return false;
       seen.state = read_state(text);
-      if (!seen.state && unreadable_ != text)
+      if (!seen.state && unreadable_state_ != text)
         log_("release", "the state in the store can't be read: no release");
-      unreadable_ = seen.state ? "" : text;
+      unreadable_state_ = seen.state ? "" : text;
     }
-    tell_later(fleet::ReleaseSeen{std::move(seen)});
+    post_input(fleet::ReleaseStateInput{std::move(seen)});
     return true;
   };
   std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, release_key(settings_),
-                             KeyWatch::What::key, settings_.timing.call, settings_.wait, take)
+                             KeyWatch::ReadMode::key, settings_.timing.call, settings_.blocking_wait, take)
       ->start();
 }
 
-void ReleaseAgent::carry(const release::MoverEffect& effect) {
+void ReleaseAgent::execute(const release::MoverEffect& effect) {
   std::visit([this](const auto& e) { on(e); }, effect);
 }
-void ReleaseAgent::carry(const release::CoordinatorEffect& effect) {
+void ReleaseAgent::execute(const release::CoordinatorEffect& effect) {
   std::visit([this](const auto& e) { on(e); }, effect);
 }
 
 // One that is lost is followed by the next: nothing waits for it.
 void ReleaseAgent::on(const release::WriteReport& e) {
   spawn([this, e]() -> asio::awaitable<void> {
-    co_await reports_.ask("PUT", "/v1/kv/" + reports_prefix(settings_) + e.report.relay,
-                          report_json(e.report), settings_.timing.call);
+    co_await report_client_.request("PUT", "/v1/kv/" + reports_prefix(settings_) + e.report.relay,
+                                    report_json(e.report), settings_.timing.call);
   });
 }
 
 void ReleaseAgent::on(const release::SetReportTimer& e) {
-  set(report_due_, e.at, [this] {
-    return fleet::Input(fleet::MoverHeard{release::ReportDue{sums_of(counters_), ""}});
+  set_timer(report_timer_, e.at, [this] {
+    return fleet::Input(fleet::MoverInput{release::ReportTimerExpired{sums_of(counters_), ""}});
   });
 }
 
 void ReleaseAgent::on(const release::ReadReports&) {
   spawn([this]() -> asio::awaitable<void> {
-    const AgentAnswer answer = co_await steps_.ask(
+    const AgentAnswer answer = co_await coordinator_client_.request(
         "GET", "/v1/kv/" + reports_prefix(settings_) + "?recurse&consistent", "", settings_.timing.call);
     release::ReportsRead read;
-    read.good = answer.status == 404 || (answer.status == 200 && read_reports(answer.body, read.reports));
-    tell_later(fleet::CoordinatorHeard{std::move(read)});
+    read.ok = answer.status == 404 || (answer.status == 200 && read_reports(answer.body, read.reports));
+    post_input(fleet::CoordinatorInput{std::move(read)});
   });
 }
 
 void ReleaseAgent::on(const release::WriteState& e) {
   spawn([this, e]() -> asio::awaitable<void> {
-    const AgentAnswer answer =
-        co_await steps_.ask("PUT", "/v1/txn", step_json(settings_, e), settings_.timing.call);
-    tell_later(fleet::CoordinatorHeard{release::StateWritten{written(answer)}});
+    const AgentAnswer answer = co_await coordinator_client_.request(
+        "PUT", "/v1/txn", state_transaction_json(settings_, e), settings_.timing.call);
+    post_input(fleet::CoordinatorInput{release::StateWritten{transaction_result(answer)}});
   });
 }
 
-void ReleaseAgent::on(const release::SetLookTimer& e) {
-  set(look_due_, e.at, [] { return fleet::Input(fleet::CoordinatorHeard{release::LookDue{}}); });
+void ReleaseAgent::on(const release::SetCheckTimer& e) {
+  set_timer(check_timer_, e.at,
+            [] { return fleet::Input(fleet::CoordinatorInput{release::CheckTimerExpired{}}); });
 }
 
 }  // namespace fennellane
--- a/src/consul/release_command.cpp
+++ b/src/consul/release_command.cpp
@@ -4,7 +4,7 @@
 #include <iomanip>
 #include <map>
 
-#include "agent_question.hpp"
+#include "agent_query.hpp"
 #include "consul_json.hpp"
 #include "fleet_values.hpp"
 #include "names.hpp"
@@ -12,7 +12,7 @@
 namespace fennellane {
 namespace {
 
-using What = ReleaseOrder::What;
+using Action = ReleaseRequest::Action;
 
 void print_budget(const drain::BudgetSeen& seen, std::ostream& out) {
   if (!seen.budget) {
@@ -26,7 +26,7 @@
     if (value > 0) out << " " << name << " " << value << unit;
   };
   out << "out at most:";
-  bound("relays", budget.cap.most, "");
+  bound("relays", budget.cap.max_relays, "");
   bound("of a zone", budget.cap.per_zone, "");
   bound("of all", budget.cap.percent, "%");
   out << "\n";
@@ -40,7 +40,7 @@
   out << "release " << s.id << " from " << s.from << " to " << s.to << ": " << release::name_of(s.phase);
   if (!s.waves.empty()) out << ", wave " << s.wave + 1 << " of " << s.waves.size();
   out << "\n";
-  if (!s.why.empty()) out << "why: " << s.why << "\n";
+  if (!s.reason.empty()) out << "why: " << s.reason << "\n";
   std::map<std::string, std::size_t> builds;
   for (const release::Report& r : reports) ++builds[r.build];
   for (const auto& [build, count] : builds) out << count << " relays report " << build << "\n";
@@ -56,13 +56,13 @@
   std::string trouble;
 };
 
-asio::awaitable<StateRead> read(AgentCall& call, const FleetSettings& settings) {
+asio::awaitable<StateRead> read_release_state(AgentClient& call, const FleetSettings& settings) {
   StateRead read;
-  const AgentAnswer answer =
-      co_await call.ask("GET", "/v1/kv/" + release_key(settings) + "?consistent", "", settings.timing.call);
+  const AgentAnswer answer = co_await call.request("GET", "/v1/kv/" + release_key(settings) + "?consistent",
+                                                   "", settings.timing.call);
   if (answer.status == 404) co_return read;
   if (answer.status != 200) {
-    read.trouble = not_answered(answer);
+    read.trouble = no_answer_message(answer);
     co_return read;
   }
   std::string text;
@@ -73,11 +73,11 @@
 
 }  // namespace
 
-release::State ordered(const std::optional<release::State>& before, const ReleaseOrder& order,
-                       const std::string& id, std::string& trouble) {
+release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& order,
+                          const std::string& id, std::string& trouble) {
   using release::Phase;
   release::State next;
-  if (order.what == What::start) {
+  if (order.action == Action::start) {
     if (before && !release::is_over(before->phase)) {
       trouble = "release " + before->id + " is under way (" + release::name_of(before->phase) + ")";
       return next;
@@ -87,7 +87,7 @@
     next.to = order.to;
     next.steps = order.steps;
     next.auto_back = order.auto_back;
-    if (!plain_name(next.from) || !plain_name(next.to) || next.from == next.to)
+    if (!is_plain_name(next.from) || !is_plain_name(next.to) || next.from == next.to)
       trouble = "from and to are two names of builds: letters, digits, '-', '_' and '.'";
     if (const std::string wrong = release::steps_problem(next.steps); trouble.empty() && !wrong.empty())
       trouble = wrong;
@@ -100,18 +100,18 @@
   next = *before;
   const Phase phase = before->phase;
   bool can = false;
-  if (order.what == What::halt) {
+  if (order.action == Action::halt) {
     can = !release::is_over(phase) && phase != Phase::halted;
     next.phase = Phase::halted;
-    next.why = "by an operator";
-  } else if (order.what == What::resume) {
+    next.reason = "by an operator";
+  } else if (order.action == Action::resume) {
     can = phase == Phase::halted;
     next.phase = next.waves.empty() ? Phase::gathering : Phase::rolling;
-    next.why.clear();
-  } else if (order.what == What::back) {
+    next.reason.clear();
+  } else if (order.action == Action::back) {
     can = phase != Phase::back && phase != Phase::returned;
     next.phase = Phase::back;
-    next.why = "by an operator";
+    next.reason = "by an operator";
   }
   if (!can) trouble = "release " + before->id + " is " + release::name_of(phase);
   return next;
@@ -119,18 +119,18 @@
 
 bool show_budget(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
                  const std::optional<drain::Cap>& cap, std::ostream& out, std::string& trouble) {
-  return with_agent(
-      consul, limits, limits.fleet_value * 2, trouble, [&](AgentCall& call) -> asio::awaitable<void> {
+  return run_agent_query(
+      consul, limits, limits.max_consul_value * 2, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
         const std::string below = "/v1/kv/" + budget_prefix(settings) + "?recurse&consistent";
-        constexpr int kTries = 20;  // against relays that take slots meanwhile
-        for (int i = 0; i < kTries; ++i) {
-          const AgentAnswer answer = co_await call.ask("GET", below, "", settings.timing.call);
+        constexpr int kMaxAttempts = 20;  // against relays that take slots meanwhile
+        for (int i = 0; i < kMaxAttempts; ++i) {
+          const AgentAnswer answer = co_await call.request("GET", below, "", settings.timing.call);
           drain::BudgetSeen seen;
           const bool read =
               answer.status == 404 ||
               (answer.status == 200 && read_semaphore(answer.body, budget_prefix(settings), seen));
           if (!read) {
-            trouble = not_answered(answer);
+            trouble = no_answer_message(answer);
             co_return;
           }
           if (!cap || (seen.budget && seen.budget->cap == *cap)) {
@@ -139,11 +139,11 @@
           }
           drain::Budget next = seen.budget.value_or(drain::Budget{});
           next.cap = *cap;
-          const AgentAnswer set = co_await call.ask(
+          const AgentAnswer set = co_await call.request(
               "PUT", "/v1/kv/" + budget_key(settings) + "?cas=" + std::to_string(seen.index),
               budget_json(next), settings.timing.call);
           if (set.status != 200) {
-            trouble = not_answered(set);
+            trouble = no_answer_message(set);
             co_return;
           }
         }
@@ -151,24 +151,24 @@
       });
 }
 
-bool order_release(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                   const ReleaseOrder& order, std::ostream& out, std::string& trouble) {
-  return with_agent(
-      consul, limits, limits.fleet_value * 2, trouble, [&](AgentCall& call) -> asio::awaitable<void> {
-        StateRead before = co_await read(call, settings);
+bool run_release_command(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
+                         const ReleaseRequest& order, std::ostream& out, std::string& trouble) {
+  return run_agent_query(
+      consul, limits, limits.max_consul_value * 2, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
+        StateRead before = co_await read_release_state(call, settings);
         trouble = before.trouble;
         if (!trouble.empty()) co_return;
-        if (order.what != What::status) {
+        if (order.action != Action::status) {
           const auto since_epoch = std::chrono::duration_cast<std::chrono::milliseconds>(
               std::chrono::system_clock::now().time_since_epoch());
           const std::string id = order.to + "-" + std::to_string(since_epoch.count());
-          const release::State next = ordered(before.state, order, id, trouble);
+          const release::State next = next_state(before.state, order, id, trouble);
           if (!trouble.empty()) co_return;
-          const AgentAnswer set = co_await call.ask(
+          const AgentAnswer set = co_await call.request(
               "PUT", "/v1/kv/" + release_key(settings) + "?cas=" + std::to_string(before.index),
               state_json(next), settings.timing.call);
           if (set.status != 200) {
-            trouble = not_answered(set);
+            trouble = no_answer_message(set);
           } else if (!set.body.starts_with("true")) {
             trouble = "the release has changed meanwhile: see its status and ask again";
           }
@@ -179,7 +179,7 @@
           out << "there has been no release\n";
           co_return;
         }
-        const AgentAnswer answer = co_await call.ask(
+        const AgentAnswer answer = co_await call.request(
             "GET", "/v1/kv/" + reports_prefix(settings) + "?recurse&consistent", "", settings.timing.call);
         std::vector<release::Report> reports;
         if (answer.status == 200) read_reports(answer.body, reports);
--- a/src/consul/release_command.hpp
+++ b/src/consul/release_command.hpp
@@ -17,17 +17,17 @@
 bool show_budget(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
                  const std::optional<drain::Cap>& cap, std::ostream& out, std::string& trouble);
 
-struct ReleaseOrder {
-  enum class What { status, start, halt, resume, back } what = What::status;
+struct ReleaseRequest {
+  enum class Action { status, start, halt, resume, back } action = Action::status;
   std::string from, to;            // start
   std::vector<std::string> steps;  // start
   bool auto_back = true;           // start
 };
-bool order_release(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                   const ReleaseOrder& order, std::ostream& out, std::string& trouble);
+bool run_release_command(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
+                         const ReleaseRequest& order, std::ostream& out, std::string& trouble);
 
 // What an order makes of the state; empty `trouble` where it can be given. `id` is a new release's.
-release::State ordered(const std::optional<release::State>& before, const ReleaseOrder& order,
-                       const std::string& id, std::string& trouble);
+release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& order,
+                          const std::string& id, std::string& trouble);
 
 }  // namespace fennellane
--- a/src/consul/watch_plan.hpp
+++ b/src/consul/watch_plan.hpp
@@ -13,11 +13,11 @@
 namespace fennellane {
 
 // Queries a second over all watches: a bucket of tokens.
-class QueryBudget {
+class QueryRateLimiter {
  public:
-  explicit QueryBudget(double per_second) : rate_(per_second), tokens_(per_second) {}
+  explicit QueryRateLimiter(double per_second) : rate_(per_second), tokens_(per_second) {}
   // Takes one and says when it may go: `now`, or later.
-  Time take(Time now);
+  Time reserve(Time now);
 
  private:
   const double rate_;
@@ -44,40 +44,41 @@
   WatchPlan(const ConsulSettings& settings, std::uint64_t seed, Time backoff_least, Time backoff_most);
 
   // The next query; the answer to it is told by `head`, then by `taken` or `failed`.
-  WatchQuery next();
+  WatchQuery next_query();
 
-  enum class Use {
-    read,       // its body is an answer to go by
-    distant,    // the same, of a server that is out of touch: nothing is gone only because it is not named
-    backwards,  // older than what is known: not read, and asked for again from the leader
-    refused     // no answer; `trouble` says why
+  enum class AnswerUse {
+    usable,           // its body is an answer to go by
+    without_leader,   // the same, of a server that is out of touch: nothing is gone only because it is not
+                      // named
+    index_decreased,  // older than what is known: not read, and asked for again from the leader
+    rejected          // no answer; `trouble` says why
   };
-  Use head(const AnswerHead& head);
-  void taken();  // the body was read whole
+  AnswerUse on_head(const AnswerHead& head);
+  void on_answer_read();  // the body was read whole
   // The query failed: a broken connection, a spoilt or late answer. Pause for `pause()` before the next.
-  void failed();
+  void on_failure();
   // The same answer is wanted once more, at once and from the leader.
-  void confirm() { ask_again_ = true; }
+  void query_again() { query_again_ = true; }
 
-  Time pause() const { return pause_; }                                    // before the next query; 0 = none
-  bool fresh() const { return asked_.consistency != Consistency::stale; }  // the query that is out
-  const std::string& trouble() const { return trouble_; }  // the newest, in one line; empty = none
+  Time pause() const { return pause_; }  // before the next query; 0 = none
+  bool from_leader() const { return query_.consistency != Consistency::stale; }  // the query that is out
+  const std::string& error() const { return error_; }  // the newest, in one line; empty = none
   std::uint64_t index() const { return index_; }
 
  private:
   void back_off(Time least);
 
   const ConsulSettings& settings_;
-  const Time backoff_least_, backoff_most_;
+  const Time backoff_min_, backoff_max_;
   std::minstd_rand random_;
   std::uint64_t index_ = 0;
   std::uint64_t answered_index_ = 0;  // of the answer whose body is being read
-  bool ask_again_ = false;
-  bool to_leader_ = false;  // the next query, although the settings say stale
-  WatchQuery asked_;
+  bool query_again_ = false;
+  bool ask_leader_ = false;  // the next query, although the settings say stale
+  WatchQuery query_;
   unsigned failures_ = 0;
   Time pause_{};
-  std::string trouble_;
+  std::string error_;
 };
 
 }  // namespace fennellane
--- a/src/core/admission_outcome.hpp
+++ b/src/core/admission_outcome.hpp
@@ -7,30 +7,30 @@
 namespace fennellane {
 
 enum class AdmissionOutcome : std::uint8_t {
-  taken,
-  repeated,   // the id is held already, or ended just now
-  full,       // as many messages are held as may be
-  unnoticed,  // as many ended messages wait for their notice to be taken
+  accepted,
+  duplicate,     // the id is held already, or ended just now
+  held_limit,    // as many messages are held as may be
+  notice_limit,  // as many ended messages wait for their notice to be taken
   journal_full,
-  too_early,  // no list of hosts yet
-  unknown,    // no such destination
-  left,       // its client had gone
+  no_host_list,         // no list of hosts yet
+  unknown_destination,  // no such destination
+  client_gone,          // its client had gone
   malformed,
-  other,    // /up and the like
-  shed,     // turned away before work was put into it
-  storage,  // the journal cannot be written
+  other,            // /up and the like
+  load_shed,        // turned away before work was put into it
+  storage_failing,  // the journal cannot be written
 };
-constexpr std::size_t kAdmissionOutcomes = 12;
+constexpr std::size_t kAdmissionOutcomeCount = 12;
 
 // How a connection of a client ended.
 enum class CloseReason : std::uint8_t {
-  by_client,   // closed, or broke
-  idle,        // for too long
-  unfinished,  // half a request, for too long
-  unread,      // its answer, for too long
-  made_way,    // for another
-  finished,    // after an answer that ends it
+  client_closed,    // closed, or broke
+  idle_timeout,     // for too long
+  request_timeout,  // half a request, for too long
+  answer_timeout,   // its answer, for too long
+  evicted,          // for another
+  answer_sent,      // after an answer that ends it
 };
-constexpr std::size_t kCloseReasons = 6;
+constexpr std::size_t kCloseReasonCount = 6;
 
 }  // namespace fennellane
--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -29,7 +29,7 @@
 
 struct HostList {
   std::uint64_t version = 0;
-  bool whole = false;
+  bool full = false;
   std::vector<HostEntry> hosts;
 };
 
--- a/src/core/cluster_source.hpp
+++ b/src/core/cluster_source.hpp
@@ -10,7 +10,7 @@
 class ClusterSource {
  public:
   // `cached`: known from an earlier life and maybe old.
-  using OnList = std::function<void(HostList, bool cached)>;
+  using OnHostList = std::function<void(HostList, bool cached)>;
   virtual ~ClusterSource() = default;
   virtual void start() = 0;
   // No list comes after this. What it has open ends by itself.
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -4,9 +4,9 @@
 
 namespace fennellane {
 
-std::string counters_text(const Counters& c, const JournalFigures& j, const fleet::Counts* f,
+std::string counters_text(const Counters& c, const JournalStats& j, const fleet::Counts* f,
                           const drain::SlotCounts* s) {
-  constexpr std::array<std::string_view, kOutcomes> names = {
+  constexpr std::array<std::string_view, kOutcomeCount> names = {
       "error", "delivered", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"};
   std::string text = "counters";
   const auto add = [&text](std::string_view name, std::uint64_t value) {
@@ -14,17 +14,17 @@
     text += name;
     text += '=' + std::to_string(value);
   };
-  add("clients", c.clients);
-  add("made_way", c.made_way);
-  add("taken", c.taken);
-  add("repeated", c.repeated);
+  add("clients", c.client_connections);
+  add("made_way", c.evicted);
+  add("taken", c.accepted);
+  add("repeated", c.duplicates);
   add("refused", c.refused);
   add("malformed", c.malformed);
   add("sent", c.sent);
   for (std::size_t i = 0; i < names.size(); ++i) add("answer." + std::string(names[i]), c.outcomes[i]);
   add("connects", c.connects);
   add("reused", c.reused);
-  add("spoilt", c.spoilt);
+  add("spoilt", c.unreadable_answers);
   add("strays.hosts", c.strays);
   add("strays.agents", c.agent_strays);
   add("delivered", c.delivered);
@@ -32,23 +32,23 @@
   add("withdrawn", c.withdrawn);
   add("deferred", c.deferred);
   add("undeliverable", c.undeliverable);
-  add("notices_taken", c.notices_taken);
-  add("notice_tries", c.notice_tries);
+  add("notices_taken", c.notices_accepted);
+  add("notice_tries", c.notice_attempts);
   add("restored", c.restored);
   add("storage.failures", c.storage_failures);
   add("storage.refused", c.storage_refused);
   add("storage.unsent", c.storage_unsent);
   add("local_retries", c.local_retries);
-  add("lists", c.lists);
+  add("lists", c.host_lists);
   add("discovery_connects", c.discovery_connects);
   add("reloads", c.reloads);
-  add("unnoticed", c.unnoticed);
+  add("unnoticed", c.ended_without_notice);
   add("consul.queries", c.consul_queries);
   add("consul.answers", c.consul_answers);
   add("consul.errors", c.consul_errors);
   add("consul.rejected", c.consul_rejected);
-  add("consul.saves", c.consul_saves);
-  add("consul.beats", c.consul_beats);
+  add("consul.saves", c.consul_list_saves);
+  add("consul.beats", c.consul_heartbeats);
   if (f != nullptr) {
     add("lease.calls", c.lease_calls);
     add("lease.reads", c.lease_reads);
@@ -68,7 +68,7 @@
     add("ejection.capped", f->capped);
   }
   if (s != nullptr) {
-    add("slot.taken", s->taken);
+    add("slot.taken", s->acquired);
     add("slot.refused", s->refused);
     add("slot.lost", s->lost);
     add("slot.waits", s->waits);
--- /dev/null
+++ b/src/core/reducer_snapshot.cpp
@@ -0,0 +1,77 @@
+// What the reducer remembers, as bytes, for a process that takes over from another. Times stay as they are:
+// both processes read one clock.
+#include "fleet_snapshot.hpp"
+#include "reducer.hpp"
+#include "snapshot.hpp"
+
+namespace fennellane {
+namespace {
+
+constexpr std::uint32_t kSnapshotVersion = 7;
+
+}  // namespace
+
+template <class Archive>
+void Reducer::Stream::serialize(Archive& archive) {
+  archive(id, idempotency_key, attempts, repeatable, host, in_flight, given_up, late_at, deadline);
+}
+
+template <class Archive>
+void Reducer::Host::serialize(Archive& archive) {
+  archive(entry, calls_in_flight);
+}
+
+template <class Archive>
+void Reducer::serialize_state(Archive& archive) {
+  archive(now_, next_stream_, streams_, ended_, cluster_, next_host_, destinations_, host_list_received_,
+          timer_);
+}
+
+std::string Reducer::save_fleet() {
+  if (!fleet_) return "";
+  return write_snapshot([this](SnapshotWriter& archive) {
+    archive(fleet_->snapshot_parts(),
+            write_snapshot([this](SnapshotWriter& leases) { fleet_->serialize_state(leases); }));
+  });
+}
+
+// False: there is nothing to go on with. Sessions of other roles lapse.
+bool Reducer::load_fleet() {
+  const std::string bytes = std::exchange(fleet_snapshot_, {});
+  if (bytes.empty()) return false;
+  std::vector<std::string> roles;
+  std::string leases;
+  const char* const whose = "the fleet's part of the reducer's memory";
+  read_snapshot(bytes, whose, [&](SnapshotReader& archive) { archive(roles, leases); });
+  if (roles != fleet_->snapshot_parts()) return false;
+  read_snapshot(leases, whose, [this](SnapshotReader& archive) { fleet_->serialize_state(archive); });
+  return true;
+}
+
+std::string Reducer::save() {
+  return write_snapshot(kSnapshotVersion, [this](SnapshotWriter& archive) {
+    archive(forwarder_.save(), save_fleet());
+    serialize_state(archive);
+  });
+}
+
+void Reducer::load(const starlinghook::Settings& settings, std::string_view bytes,
+                   const BodyLookup& body_of) {
+  read_snapshot(bytes, "the reducer's memory", kSnapshotVersion, [&](SnapshotReader& archive) {
+    std::string module;
+    archive(module, fleet_snapshot_);
+    forwarder_ = starlinghook::Forwarder::load(settings, module);
+    serialize_state(archive);
+  });
+  for (auto& [id, stream] : streams_) {
+    stream_ids_[stream.id] = id;
+    given_up_ += stream.given_up ? 1 : 0;
+    if (stream.given_up) continue;
+    stream.body = body_of(id);
+    if (!stream.body) throw starlinghook::SnapshotError("a message is held that the journal does not have");
+  }
+  for (const auto& [id, host] : cluster_) host_ids_[host.entry.id] = id;
+  ended_ids_.insert(ended_.begin(), ended_.end());
+}
+
+}  // namespace fennellane
--- a/src/core/retry_pause.hpp
+++ b/src/core/retry_backoff.hpp
@@ -10,23 +10,23 @@
 
 namespace fennellane {
 
-class RetryPause {
+class RetryBackoff {
  public:
-  RetryPause(Time least, Time most, std::uint64_t seed) : least_(least), most_(most), random_(seed) {}
+  RetryBackoff(Time least, Time most, std::uint64_t seed) : min_(least), max_(most), random_(seed) {}
 
   // After a failure: from half to one and a half of a span that doubles each time, up to `most`. Guards
   // against a hundred that failed in one moment coming back in one moment, again and again.
-  Time next() {
-    const Time span = span_;
-    span_ = std::min(span_ * 2, most_);
+  Time next_delay() {
+    const Time span = delay_;
+    delay_ = std::min(delay_ * 2, max_);
     return span / 2 + Time(std::uniform_int_distribution<Time::rep>(0, span.count())(random_));
   }
   // After a success: the next failure's pause is short again.
-  void reset() { span_ = least_; }
+  void reset() { delay_ = min_; }
 
  private:
-  const Time least_, most_;
-  Time span_ = least_;
+  const Time min_, max_;
+  Time delay_ = min_;
   std::mt19937_64 random_;
 };
 
--- a/src/core/memory.hpp
+++ b/src/core/snapshot.hpp
@@ -23,14 +23,14 @@
 
 namespace fennellane {
 
-using MemoryWriter = cereal::BinaryOutputArchive;
-using MemoryReader = cereal::BinaryInputArchive;
+using SnapshotWriter = cereal::BinaryOutputArchive;
+using SnapshotReader = cereal::BinaryInputArchive;
 
 // `write` is called with a MemoryWriter.
 template <class Write>
-std::string written_memory(Write write) {
+std::string write_snapshot(Write write) {
   std::ostringstream out;
-  MemoryWriter archive(out);
+  SnapshotWriter archive(out);
   write(archive);
   return std::move(out).str();
 }
@@ -38,17 +38,17 @@
 // The same, of one version: it is raised with each change of what is written, and another's bytes are not
 // read.
 template <class Write>
-std::string written_memory(std::uint32_t version, Write write) {
-  return written_memory([&](MemoryWriter& archive) {
+std::string write_snapshot(std::uint32_t version, Write write) {
+  return write_snapshot([&](SnapshotWriter& archive) {
     archive(version);
     write(archive);
   });
 }
 
 // Bytes that are read where they stand.
-class MemoryView : public std::streambuf {
+class SnapshotView : public std::streambuf {
  public:
-  explicit MemoryView(std::string_view bytes) {
+  explicit SnapshotView(std::string_view bytes) {
     char* const first = const_cast<char*>(bytes.data());  // that nothing is written to
     setg(first, first, first + bytes.size());
   }
@@ -57,26 +57,26 @@
 // `read` is called with a MemoryReader. Throws starlinghook::MemoryError where the bytes are not what it
 // reads, or are more.
 template <class Read>
-void read_memory(std::string_view bytes, const char* whose, Read read) {
+void read_snapshot(std::string_view bytes, const char* whose, Read read) {
   try {
-    MemoryView view(bytes);
+    SnapshotView view(bytes);
     std::istream in(&view);
-    MemoryReader archive(in);
+    SnapshotReader archive(in);
     read(archive);
     if (in.peek() == std::istream::traits_type::eof()) return;
   } catch (const cereal::Exception&) {
   } catch (const std::bad_alloc&) {     // a length that is none
   } catch (const std::length_error&) {  // the same
   }
-  throw starlinghook::MemoryError(std::string(whose) + " cannot be read");
+  throw starlinghook::SnapshotError(std::string(whose) + " cannot be read");
 }
 template <class Read>
-void read_memory(std::string_view bytes, const char* whose, std::uint32_t version, Read read) {
-  read_memory(bytes, whose, [&](MemoryReader& archive) {
+void read_snapshot(std::string_view bytes, const char* whose, std::uint32_t version, Read read) {
+  read_snapshot(bytes, whose, [&](SnapshotReader& archive) {
     std::uint32_t found = 0;
     archive(found);
     if (found != version) {
-      throw starlinghook::MemoryError(std::string(whose) + " is of version " + std::to_string(found));
+      throw starlinghook::SnapshotError(std::string(whose) + " is of version " + std::to_string(found));
     }
     read(archive);
   });
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -24,14 +24,14 @@
   std::uint32_t destination = 0;
   WallTime deadline{};
   std::uint32_t attempts = 0;
-  bool out = false;  // the newest attempt has no outcome yet
-  WallTime out_since{};
-  std::uint32_t out_zone = 0;
+  bool in_flight = false;  // the newest attempt has no outcome yet
+  WallTime attempt_started{};
+  std::uint32_t attempt_zone = 0;
   bool may_have_run = false;
-  WallTime doubt_since{};  // start of the first attempt that may have run
-  std::uint32_t doubt_zone = 0;
+  WallTime uncertain_since{};  // start of the first attempt that may have run
+  std::uint32_t uncertain_zone = 0;
   std::optional<Verdict> verdict;  // given up; its notice has not been taken yet
-  Time again{};
+  Time retry_after{};
   Body body = std::make_shared<const std::string>();
 };
 
--- a/src/delivery_memory.hpp
+++ b/src/delivery_snapshot.hpp
@@ -18,7 +18,7 @@
 namespace starlinghook {
 
 // Raised with each change of what is listed below: another version's bytes are not read.
-constexpr std::uint32_t kMemoryVersion = 4;
+constexpr std::uint32_t kSnapshotVersion = 4;
 
 template <class A>
 void serialize(A& a, EndpointEntry& e) {
@@ -27,74 +27,77 @@
 template <class A>
 void serialize(A& a, MessageArrived& m) {
   a(m.id, m.message_class, m.tenant, m.destination, m.key, m.time_left, m.attempts, m.may_have_run,
-    m.doubt_age, m.doubt_zone);
+    m.uncertain_age, m.uncertain_zone);
 }
 
 namespace {
 
 template <class A>
 void serialize(A& a, Health& h) {
-  a(h.fail_run, h.full_run, h.full_since, h.fail_share, h.doubt_share, h.sick, h.earned, h.rest_until,
-    h.last_ok, h.ok_since, h.failing_since, h.last_trial, h.trial_turns, h.sends);
+  a(h.consecutive_failures, h.consecutive_refusals, h.refused_since, h.failure_share, h.uncertain_share,
+    h.unhealthy, h.earned_calls, h.backoff_until, h.last_success, h.recovering_since, h.failing_since,
+    h.last_probe_call, h.probe_call_turns, h.recent_calls);
 }
 template <class A>
 void serialize(A& a, Route& r) {
-  a(r.rate, r.listed, r.arrivals, r.health, r.in_flight, r.window, r.last_cut, r.last_slowed, r.wait_until,
-    r.told, r.pace_share, r.burst_seconds, r.tokens, r.tokens_at, r.refused_at, r.turn, r.spread,
-    r.answer_mean, r.answer_spread);
+  a(r.rate, r.listed, r.arrivals, r.health, r.in_flight, r.window, r.last_window_cut, r.last_pace_cut,
+    r.wait_until, r.reported_limit, r.pace_share, r.burst_seconds, r.tokens, r.tokens_updated_at,
+    r.last_refusal, r.next_turn, r.turn_spacing, r.answer_mean, r.answer_deviation);
 }
 template <class A>
 void serialize(A& a, Endpoint& e) {  // but for its route
-  a(e.entry, e.health, e.out, e.connections, e.most_out, e.crowded_at, e.crowded_gap, e.last_used,
-    e.tie_breaker);
+  a(e.entry, e.health, e.in_flight, e.connections, e.max_in_flight, e.connections_full_at,
+    e.connection_retry_interval, e.last_used, e.tie_breaker);
 }
 template <class A>
 void serialize(A& a, Message& m) {  // but for its rules
-  a(m.facts, m.handed_in, m.deadline, m.not_before, m.ended, m.attempts, m.may_have_run, m.doubt_since,
-    m.doubt_zone, m.sent_at, m.call);
+  a(m.arrival, m.first_submitted, m.deadline, m.not_before, m.ended, m.attempts, m.may_have_run,
+    m.uncertain_since, m.uncertain_zone, m.sent_at, m.call_id);
 }
 template <class A>
 void serialize(A& a, Call& c) {
-  a(c.endpoint, c.sent_at, c.members, c.outstanding, c.unsafe, c.cancelled);
+  a(c.endpoint, c.sent_at, c.messages, c.pending, c.unsafe, c.cancelled);
 }
 template <class A>
-void serialize(A& a, Risk& r) {
+void serialize(A& a, ConnectionLoss& r) {
   a(r.calls, r.lost);
 }
 template <class A>
-void serialize(A& a, KeyLine& k) {
-  a(k.line, k.quiet_until);
+void serialize(A& a, KeyQueue& k) {
+  a(k.messages, k.quiet_until);
 }
 template <class A>
 void serialize(A& a, Destination& d) {  // but for what waits
-  a(d.look_at, d.endpoints);
+  a(d.next_check, d.endpoints);
 }
 
 }  // namespace
 
 template <class A>
-void Forwarder::Policy::remember(A& a) {
+void Forwarder::Policy::serialize_state(A& a) {
   constexpr bool loading = A::is_loading::value;
   std::stringstream random;
   if (!loading) random << random_;
   std::string random_text = random.str();
   std::map<DestinationId, std::vector<MessageId>> waiting;  // in their order
   for (const auto& [id, d] : destinations_) {
-    for (const Message* m : d.waiting) waiting[id].push_back(m->facts.id);
+    for (const Message* m : d.waiting) waiting[id].push_back(m->arrival.id);
   }
-  a(random_text, now_, start_, routes_, endpoints_, destinations_, busy_, messages_, calls_, keys_, gone_,
-    quiet_, last_call_, kept_risk_, new_risk_, risk_seen_, scarce_until_, lost_share_, lost_at_,
-    usual_answer_, arrivals_, listed_rate_, log_lines_, list_failures_, next_ask_, due_, timer_at_, stop_at_,
-    waiting);
+  a(random_text, now_, started_, routes_, endpoints_, destinations_, waiting_destinations_, messages_, calls_,
+    keys_, removed_, quiet_keys_, last_call_id_, idle_connection_losses_, new_connection_losses_,
+    last_connection_loss_, scarce_until_, unanswered_share_, unanswered_share_at_, usual_answer_log_,
+    arrivals_, listed_rate_, log_messages_, list_failures_, next_list_request_, next_wake_, timer_at_,
+    shutdown_at_, waiting);
   if constexpr (loading) {
     std::istringstream(random_text) >> random_;
     for (auto& [id, endpoint] : endpoints_) {
       const EndpointEntry& entry = endpoint.entry;
       endpoint.route =
-          &routes_.at({entry.destination, routes_apart(entry) ? std::optional(id) : std::nullopt});
+          &routes_.at({entry.destination, has_separate_route(entry) ? std::optional(id) : std::nullopt});
     }
     // Guards against settings that have lost a message's class since.
-    for (auto& [id, message] : messages_) message.rules = &s_.classes.at(message.facts.message_class);
+    for (auto& [id, message] : messages_)
+      message.class_settings = &s_.classes.at(message.arrival.message_class);
     for (const auto& [id, ids] : waiting) {
       for (const MessageId message : ids) destinations_.at(id).waiting.push_back(&messages_.at(message));
     }
@@ -104,8 +107,8 @@
 std::string Forwarder::save() const {
   std::ostringstream out;
   cereal::BinaryOutputArchive archive(out);
-  archive(kMemoryVersion);
-  policy_->remember(archive);
+  archive(kSnapshotVersion);
+  policy_->serialize_state(archive);
   return out.str();
 }
 
@@ -116,13 +119,13 @@
     cereal::BinaryInputArchive archive(in);
     std::uint32_t version = 0;
     archive(version);
-    if (version != kMemoryVersion)
-      throw MemoryError("the module's memory is of version " + std::to_string(version));
-    forwarder.policy_->remember(archive);
+    if (version != kSnapshotVersion)
+      throw SnapshotError("the module's memory is of version " + std::to_string(version));
+    forwarder.policy_->serialize_state(archive);
   } catch (const cereal::Exception& e) {
-    throw MemoryError(std::string("the module's memory cannot be read: ") + e.what());
+    throw SnapshotError(std::string("the module's memory cannot be read: ") + e.what());
   } catch (const std::out_of_range&) {
-    throw MemoryError("the module's memory does not fit the settings");
+    throw SnapshotError("the module's memory does not fit the settings");
   }
   return forwarder;
 }
--- a/src/drain/budget.cpp
+++ b/src/drain/budget.cpp
@@ -22,7 +22,7 @@
     return std::to_string(count) + " of " + std::to_string(bound) + " are out" + of + ":" + names;
   };
   const Cap& cap = budget.cap;
-  if (cap.most > 0 && out.size() >= cap.most) return over(out.size(), cap.most, "", false);
+  if (cap.max_relays > 0 && out.size() >= cap.max_relays) return over(out.size(), cap.max_relays, "", false);
   if (cap.percent > 0) {
     const std::uint32_t share = std::max(1u, census.relays * cap.percent / 100);
     if (out.size() >= share) return over(out.size(), share, " by the share", false);
--- a/src/drain/budget.hpp
+++ b/src/drain/budget.hpp
@@ -15,9 +15,9 @@
 
 // As the operators set it; 0 leaves a bound out, and of those that are set the least holds.
 struct Cap {
-  std::uint32_t most = 1;      // relays
-  std::uint32_t per_zone = 0;  // of one zone
-  std::uint32_t percent = 0;   // of the relays that the catalogue has, rounded down, but at least one
+  std::uint32_t max_relays = 1;  // relays
+  std::uint32_t per_zone = 0;    // of one zone
+  std::uint32_t percent = 0;     // of the relays that the catalogue has, rounded down, but at least one
   bool operator==(const Cap&) const = default;
 };
 
--- a/src/drain/slot.cpp
+++ b/src/drain/slot.cpp
@@ -16,7 +16,7 @@
     return "renew, call and retry: above zero";
   if (s.renew_every + s.call >= s.ttl - s.margin) return "renew + call: under ttl - margin";
   // Guards against a renew that never leaves enough of the TTL for going out.
-  if (s.out + s.call >= s.ttl - s.margin) return "out + call: under ttl - margin";
+  if (s.max_outage + s.call >= s.ttl - s.margin) return "out + call: under ttl - margin";
   return "";
 }
 
@@ -55,7 +55,7 @@
 void Slot::forget(Effects& out) {
   session_.clear();
   refused_at_.reset();
-  why_.clear();
+  reason_.clear();
   watch(false, out);
   if (!wanted_) wanted_ = std::exchange(next_, std::nullopt);
   step_ = wanted_ ? Step::making : Step::off;
@@ -77,22 +77,22 @@
     if (now < next_try_) return;
     call_ = Call::end;
     watch(false, out);
-    out.emplace_back(EndSession{session_});
+    out.emplace_back(DestroySession{session_});
     return;
   }
   if (step_ == Step::held && lasts(now)) {
-    step_ = Step::out;
-    why_.clear();
+    step_ = Step::offline;
+    reason_.clear();
     watch(false, out);
-    out.emplace_back(Say{std::string("goes out to ") + name_of(*wanted_) + ", session " + session_});
-    out.emplace_back(GoOut{*wanted_, session_});
+    out.emplace_back(LogMessage{std::string("goes out to ") + name_of(*wanted_) + ", session " + session_});
+    out.emplace_back(GoOffline{*wanted_, session_});
     return;
   }
   if (step_ == Step::off || now < next_try_) return;
   if (session_.empty()) {
     step_ = Step::making;
     call_ = Call::make;
-    out.emplace_back(MakeSession{settings_.ttl});
+    out.emplace_back(CreateSession{settings_.ttl});
     return;
   }
   if (step_ == Step::held || now >= confirmed_ + settings_.renew_every) {
@@ -113,10 +113,10 @@
 
 void Slot::wait_for(const std::string& why, Effects& out) {
   next_ask_ = Time::max();
-  if (why_ == why) return;
+  if (reason_ == why) return;
   ++counts_.waits;
-  why_ = why;
-  out.emplace_back(Say{"no slot, and serves on: " + why});
+  reason_ = why;
+  out.emplace_back(LogMessage{"no slot, and serves on: " + why});
 }
 
 void Slot::seek(Time now, const Census& census, Effects& out) {
@@ -129,15 +129,15 @@
   // Of an earlier session of this relay's that still lives.
   std::erase_if(next.holders, [this](const Holder& h) { return h.relay == settings_.relay; });
   next.holders.push_back({session_, settings_.relay, settings_.zone});
-  call_ = Call::take;
+  call_ = Call::acquire;
   asked_at_ = seen_->index;
-  out.emplace_back(TakeSlot{session_, seen_->index, std::move(next)});
+  out.emplace_back(AcquireSlot{session_, seen_->index, std::move(next)});
 }
 
 void Slot::hold(Effects& out) {
   step_ = Step::held;
-  ++counts_.taken;
-  out.emplace_back(Say{"has a slot, session " + session_});
+  ++counts_.acquired;
+  out.emplace_back(LogMessage{"has a slot, session " + session_});
 }
 
 void Slot::on(Time, const Ask& ask, Effects&) {
@@ -148,20 +148,20 @@
   wanted_ = ask.purpose;
   if (step_ == Step::off) step_ = Step::making;
   // One slot serves for whatever is asked for next.
-  if (step_ == Step::out) step_ = Step::held;
+  if (step_ == Step::offline) step_ = Step::held;
 }
 
 void Slot::on(Time, const Cancel& cancel, Effects& out) {
   if (next_ == cancel.purpose) next_.reset();
-  if (step_ == Step::out || wanted_ != cancel.purpose) return;
+  if (step_ == Step::offline || wanted_ != cancel.purpose) return;
   wanted_.reset();
-  why_.clear();
+  reason_.clear();
   if (step_ == Step::making && call_ == Call::none) forget(out);
 }
 
-void Slot::on(Time, const Back&, Effects& out) {
+void Slot::on(Time, const OutageEnded&, Effects& out) {
   wanted_.reset();
-  why_.clear();
+  reason_.clear();
   if (step_ == Step::making && call_ == Call::none) forget(out);
 }
 
@@ -169,12 +169,12 @@
 void Slot::on(Time now, const Adopt& adopt, Effects&) {
   if (step_ != Step::off || adopt.session.empty()) return;
   session_ = adopt.session;
-  step_ = Step::out;
+  step_ = Step::offline;
   wanted_ = Purpose::stop;
   confirmed_ = now - settings_.renew_every;
 }
 
-void Slot::on(Time now, const SessionMade& made, Effects& out) {
+void Slot::on(Time now, const SessionCreated& made, Effects& out) {
   call_ = Call::none;
   session_ = made.id;
   confirmed_ = made.sent;
@@ -190,10 +190,10 @@
     return;
   }
   if (has_slot()) ++counts_.lost;
-  out.emplace_back(Say{"session " + session_ + " is gone" + (has_slot() ? ", and its slot" : "")});
+  out.emplace_back(LogMessage{"session " + session_ + " is gone" + (has_slot() ? ", and its slot" : "")});
   // What went out is not called back; its slot counts as free from now on, and the catalogue as far as it
   // knows.
-  if (step_ == Step::out) wanted_.reset();
+  if (step_ == Step::offline) wanted_.reset();
   forget(out);
 }
 
@@ -208,7 +208,7 @@
                        [&](const Holder& h) { return h.session == session; });
   };
   // A transaction that Consul took, and whose answer was lost.
-  if (call_ != Call::take && is_holder(session_)) return hold(out);
+  if (call_ != Call::acquire && is_holder(session_)) return hold(out);
   // Guards the lock key against all who wait asking at once: the first in the queue asks at once, and each
   // behind it a while later, in case that those before it are gone.
   std::uint64_t mine = UINT64_MAX;
@@ -217,7 +217,7 @@
   std::size_t ahead = 0;
   for (const Contender& c : seen.contenders) ahead += c.since < mine && !is_holder(c.session) ? 1 : 0;
   const std::size_t free =
-      budget.cap.most > budget.holders.size() ? budget.cap.most - budget.holders.size() : 1;
+      budget.cap.max_relays > budget.holders.size() ? budget.cap.max_relays - budget.holders.size() : 1;
   next_ask_ = now + settings_.retry * static_cast<Time::rep>(ahead < free ? 0 : ahead - free + 1);
 }
 
@@ -225,7 +225,7 @@
   call_ = Call::none;
   if (step_ != Step::waiting || !wanted_ || !seen_) return;
   // Guards the budget against a catalogue that is not heard: no slot is given by what nobody knows.
-  if (!read.good) {
+  if (!read.ok) {
     wait_for("the catalogue is not heard", out);
     next_ask_ = now + settings_.retry;
     return;
@@ -235,7 +235,7 @@
 
 void Slot::on(Time, const SlotAnswer& answer, Effects& out) {
   call_ = Call::none;
-  if (answer.taken) return hold(out);
+  if (answer.acquired) return hold(out);
   ++counts_.refused;
   // What it named is old. A newer read may have come before this answer, and is as good as one that comes
   // after it.
@@ -246,9 +246,9 @@
   const Call failed = std::exchange(call_, Call::none);
   next_try_ = now + settings_.retry;
   if (failed == Call::make) {
-    out.emplace_back(Say{"no slot, and serves on: Consul is not heard"});
+    out.emplace_back(LogMessage{"no slot, and serves on: Consul is not heard"});
     if (!wanted_) forget(out);
-  } else if (failed == Call::take) {
+  } else if (failed == Call::acquire) {
     // Nobody knows whether it was taken. Asked once more with the same index it is refused if it was, and the
     // next read tells.
     next_ask_ = next_try_;
@@ -257,13 +257,13 @@
   }
 }
 
-void Slot::on(Time, const Done&, Effects& out) {
+void Slot::on(Time, const SessionDestroyed&, Effects& out) {
   call_ = Call::none;
-  out.emplace_back(Say{"slot given back"});
+  out.emplace_back(LogMessage{"slot given back"});
   forget(out);
 }
 
-void Slot::on(Time, const TimeDue&, Effects&) { timer_.reset(); }
+void Slot::on(Time, const TimerExpired&, Effects&) { timer_.reset(); }
 
 std::vector<Effect> Slot::resume(Time now) {
   Effects out;
--- a/src/drain/slot.hpp
+++ b/src/drain/slot.hpp
@@ -40,9 +40,9 @@
   Time ttl = std::chrono::seconds(60);  // of the session
   Time renew_every = std::chrono::seconds(15);
   Time margin = std::chrono::seconds(5);
-  Time out = std::chrono::seconds(20);   // the longest planned outage
-  Time call = std::chrono::seconds(2);   // longest wait for an answer to one call
-  Time retry = std::chrono::seconds(1);  // after a failed call, and for each place in the queue
+  Time max_outage = std::chrono::seconds(20);  // the longest planned outage
+  Time call = std::chrono::seconds(2);         // longest wait for an answer to one call
+  Time retry = std::chrono::seconds(1);        // after a failed call, and for each place in the queue
   bool operator==(const SlotSettings&) const = default;
 };
 // Empty where its times can be kept. `least_ttl`: Consul's.
@@ -59,11 +59,11 @@
 struct Cancel {  // it is not wanted any more; one that is out is not called back
   Purpose purpose{};
 };
-struct Back {};  // it is over: the slot is given back
-struct Adopt {   // an earlier life went out with this session
+struct OutageEnded {};  // it is over: the slot is given back
+struct Adopt {          // an earlier life went out with this session
   std::string session;
 };
-struct SessionMade {
+struct SessionCreated {
   std::string id;
   Time sent{};  // when the create was sent
 };
@@ -81,20 +81,20 @@
   std::vector<Contender> contenders;
 };
 struct CensusRead {
-  bool good = false;
+  bool ok = false;
   Census census;
 };
 struct SlotAnswer {
-  bool taken = false;  // false: the budget has changed since it was read, or the session is over
+  bool acquired = false;  // false: the budget has changed since it was read, or the session is over
 };
-struct CallFailed {};  // the call out had no answer in `call`, or an error
-struct Done {};        // the session was destroyed, or that failed
-struct TimeDue {};
-using Input = std::variant<Ask, Cancel, Back, Adopt, SessionMade, RenewAnswer, BudgetSeen, CensusRead,
-                           SlotAnswer, CallFailed, Done, TimeDue>;
+struct CallFailed {};        // the call out had no answer in `call`, or an error
+struct SessionDestroyed {};  // the session was destroyed, or that failed
+struct TimerExpired {};
+using Input = std::variant<Ask, Cancel, OutageEnded, Adopt, SessionCreated, RenewAnswer, BudgetSeen,
+                           CensusRead, SlotAnswer, CallFailed, SessionDestroyed, TimerExpired>;
 
 // --- What the caller does; of the calls one at a time is out
-struct MakeSession {
+struct CreateSession {
   Time ttl{};
 };
 struct Renew {
@@ -104,29 +104,29 @@
   bool on = false;
 };
 struct ReadCensus {};
-struct TakeSlot {
+struct AcquireSlot {
   std::string session;
   std::uint64_t index = 0;  // of the lock key as read; 0: it must not be there
   Budget next;
 };
-struct EndSession {
+struct DestroySession {
   std::string session;
 };
-struct GoOut {  // now
+struct GoOffline {  // now
   Purpose purpose{};
   std::string session;  // for the next life to adopt
 };
 struct SetTimer {
   Time at{};
 };
-struct Say {
+struct LogMessage {
   std::string text;
 };
-using Effect =
-    std::variant<MakeSession, Renew, WatchBudget, ReadCensus, TakeSlot, EndSession, GoOut, SetTimer, Say>;
+using Effect = std::variant<CreateSession, Renew, WatchBudget, ReadCensus, AcquireSlot, DestroySession,
+                            GoOffline, SetTimer, LogMessage>;
 
 struct SlotCounts {
-  std::uint64_t taken = 0, refused = 0, lost = 0, waits = 0;
+  std::uint64_t acquired = 0, refused = 0, lost = 0, waits = 0;
 };
 
 class Slot {
@@ -136,7 +136,7 @@
     making,   // the session is being made
     waiting,  // a contender
     held,     // a slot; the relay has not gone out yet
-    out,      // a slot, and the relay is out by plan
+    offline,  // a slot, and the relay is out by plan
     ending,   // the session is being destroyed
   };
   explicit Slot(const SlotSettings& settings) : settings_(settings) {}
@@ -148,27 +148,27 @@
   std::optional<Purpose> purpose() const { return wanted_; }
   const SlotCounts& counts() const { return counts_; }
   // Why it waits, in words; empty: it does not.
-  const std::string& waits_for() const { return why_; }
+  const std::string& waits_for() const { return reason_; }
   // Of a process that takes over from another: goes on, and asks again for what was out.
   template <class Archive>
-  void remember(Archive& archive);
+  void serialize_state(Archive& archive);
   std::vector<Effect> resume(Time now);
 
  private:
   using Effects = std::vector<Effect>;
-  enum class Call : std::uint8_t { none, make, renew, census, take, end };
+  enum class Call : std::uint8_t { none, make, renew, census, acquire, end };
   void on(Time now, const Ask& ask, Effects& out);
   void on(Time now, const Cancel& cancel, Effects& out);
-  void on(Time now, const Back&, Effects& out);
+  void on(Time now, const OutageEnded&, Effects& out);
   void on(Time now, const Adopt& adopt, Effects& out);
-  void on(Time now, const SessionMade& made, Effects& out);
+  void on(Time now, const SessionCreated& made, Effects& out);
   void on(Time now, const RenewAnswer& answer, Effects& out);
   void on(Time now, const BudgetSeen& seen, Effects& out);
   void on(Time now, const CensusRead& read, Effects& out);
   void on(Time now, const SlotAnswer& answer, Effects& out);
   void on(Time now, const CallFailed&, Effects& out);
-  void on(Time now, const Done&, Effects& out);
-  void on(Time now, const TimeDue&, Effects& out);
+  void on(Time now, const SessionDestroyed&, Effects& out);
+  void on(Time now, const TimerExpired&, Effects& out);
   void next_call(Time now, Effects& out);
   void seek(Time now, const Census& census, Effects& out);
   void wait_for(const std::string& why, Effects& out);
@@ -177,8 +177,10 @@
   void watch(bool on, Effects& out);
   void arm(Effects& out);
   Budget live() const;
-  bool has_slot() const { return step_ == Step::held || step_ == Step::out; }
-  bool lasts(Time now) const { return now + settings_.out < confirmed_ + settings_.ttl - settings_.margin; }
+  bool has_slot() const { return step_ == Step::held || step_ == Step::offline; }
+  bool lasts(Time now) const {
+    return now + settings_.max_outage < confirmed_ + settings_.ttl - settings_.margin;
+  }
 
   SlotSettings settings_;
   Step step_ = Step::off;
@@ -192,7 +194,7 @@
   std::optional<BudgetSeen> seen_;           // newest
   std::uint64_t asked_at_ = 0;               // the index that the newest transaction named
   std::optional<std::uint64_t> refused_at_;  // the same of one that was refused
-  std::string why_;
+  std::string reason_;
   std::optional<Time> timer_;
   SlotCounts counts_;
 };
--- a/src/ejection/arbiter.hpp
+++ b/src/ejection/arbiter.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cap.hpp"
-#include "written.hpp"
+#include "write_result.hpp"
 
 namespace fennellane::ejection {
 
@@ -17,25 +17,25 @@
   Cap cap;
   Time every = std::chrono::seconds(2);   // between two reads of the reports
   Time stale = std::chrono::seconds(15);  // a report that is not renewed does not count
-  std::size_t most_forgotten = 16;        // old reports removed with one verdict; Consul takes 64 operations
+  std::size_t max_removed_reports = 16;   // old reports removed with one verdict; Consul takes 64 operations
   bool operator==(const ArbiterSettings&) const = default;
 };
 
 // --- What the caller tells
-struct ReadDue {};
-struct Read {  // one report, with its key's ModifyIndex
+struct ReadTimerExpired {};
+struct StoredReport {  // one report, with its key's ModifyIndex
   Report report;
   std::uint64_t index = 0;
 };
 struct ReportsRead {
-  bool good = false;
-  std::vector<Read> reports;
+  bool ok = false;
+  std::vector<StoredReport> reports;
   std::vector<Listed> listed;  // as this relay's own list has it
 };
 struct VerdictWritten {
-  lease::Written how{};
+  lease::WriteResult result{};
 };
-using ArbiterInput = std::variant<ReadDue, ReportsRead, VerdictWritten>;
+using ArbiterInput = std::variant<ReadTimerExpired, ReportsRead, VerdictWritten>;
 
 // --- What the caller does
 struct ReadReports {};
@@ -47,10 +47,10 @@
 struct SetReadTimer {
   Time at{};
 };
-struct ArbiterSaid {
+struct ArbiterLogMessage {
   std::string text;
 };
-using ArbiterEffect = std::variant<ReadReports, WriteVerdict, SetReadTimer, ArbiterSaid>;
+using ArbiterEffect = std::variant<ReadReports, WriteVerdict, SetReadTimer, ArbiterLogMessage>;
 
 class Arbiter {
  public:
@@ -58,28 +58,28 @@
 
   std::vector<ArbiterEffect> handle(Time now, const ArbiterInput& input);
   // Of the role: from now on it acts with this token, or does so no more.
-  std::vector<ArbiterEffect> acts(Time now, Token token, const std::string& session);
-  void stops() { token_.reset(); }
+  std::vector<ArbiterEffect> activate(Time now, Token token, const std::string& session);
+  void deactivate() { token_.reset(); }
 
  private:
   using Effects = std::vector<ArbiterEffect>;
-  void on(Time now, const ReadDue&, Effects& out);
+  void on(Time now, const ReadTimerExpired&, Effects& out);
   void on(Time now, const ReportsRead& read, Effects& out);
   void on(Time now, const VerdictWritten& written, Effects& out);
 
   const ArbiterSettings settings_;
   std::optional<Token> token_;
   std::string session_;
-  struct Heard {
-    std::uint64_t beat = 0;
+  struct ReceivedReport {
+    std::uint64_t heartbeat = 0;
     Time at{};  // when it was last seen to have grown, on this relay's clock
   };
-  std::map<std::string, Heard> heard_;  // by relay; no more than the newest read names
+  std::map<std::string, ReceivedReport> received_;  // by relay; no more than the newest read names
   bool reading_ = false, writing_ = false;
   std::optional<Verdict> written_;  // the newest that was taken; none: none under this token
   std::optional<Verdict> asked_;    // the one whose writing is out
   Time written_at_{};
-  std::uint64_t beat_ = 0;
+  std::uint64_t heartbeat_ = 0;
 };
 
 }  // namespace fennellane::ejection
--- a/src/ejection/cap.cpp
+++ b/src/ejection/cap.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-const char* name_of(State state) {
+const char* name_of(DegradationKind state) {
   constexpr const char* kNames[] = {"failing", "cold", "lowered"};
   return kNames[static_cast<std::size_t>(state)];
 }
@@ -31,12 +31,12 @@
   };
   std::map<std::string, Voices> heard;
   for (const Report& report : reports) {
-    for (const Ailing& a : report.ailing) {
+    for (const DegradedEndpoint& a : report.degraded_endpoints) {
       Voices& v = heard[a.host];
       ++v.any;
-      if (a.state != State::failing) continue;
+      if (a.kind != DegradationKind::failing) continue;
       ++v.failing;
-      v.bad += a.bad;
+      v.bad += a.failure_share;
     }
   }
   const std::size_t enough = std::max<std::size_t>({1, std::min<std::size_t>(cap.voices, reports.size()),
@@ -88,7 +88,7 @@
   return verdict;
 }
 
-std::vector<std::string> kept(const Verdict& verdict, const std::vector<Listed>& listed) {
+std::vector<std::string> exempt_endpoints(const Verdict& verdict, const std::vector<Listed>& listed) {
   std::vector<std::string> all;
   for (const Listed& host : listed) {
     const bool closed =
--- a/src/ejection/cap.hpp
+++ b/src/ejection/cap.hpp
@@ -18,15 +18,15 @@
 
 // What one relay has learnt of an endpoint that the list calls ready: it rests, is cold after an outage, or
 // answers tell of less than half of its limit.
-enum class State : std::uint8_t { failing, cold, lowered };
-const char* name_of(State state);
+enum class DegradationKind : std::uint8_t { failing, slow_start, reduced_limit };
+const char* name_of(DegradationKind state);
 
-struct Ailing {
+struct DegradedEndpoint {
   std::string host;
-  State state{};
-  double bad = 0;     // recent share of failures there, 0 to 1
-  bool kept = false;  // by the cap: it fails, and does not rest
-  bool operator==(const Ailing&) const = default;
+  DegradationKind kind{};
+  double failure_share = 0;  // recent share of failures there, 0 to 1
+  bool exempt = false;       // by the cap: it fails, and does not rest
+  bool operator==(const DegradedEndpoint&) const = default;
 };
 struct Listed {  // as one relay's own list has it
   std::string host;
@@ -35,12 +35,12 @@
 };
 struct View {  // of one relay
   std::vector<Listed> listed;
-  std::vector<Ailing> ailing;
+  std::vector<DegradedEndpoint> degraded_endpoints;
 };
 struct Report {  // what it writes for the arbiter
   std::string relay;
-  std::uint64_t beat = 0;  // grows with each
-  std::vector<Ailing> ailing;
+  std::uint64_t heartbeat = 0;  // grows with each
+  std::vector<DegradedEndpoint> degraded_endpoints;
 };
 
 struct Cap {                          // shares round down, and at least one endpoint may be out
@@ -53,7 +53,7 @@
 
 struct Verdict {
   Token token = 0;  // of the arbiter's role
-  std::uint64_t beat = 0;
+  std::uint64_t heartbeat = 0;
   bool all = false;                   // the cap on all endpoints is reached
   std::vector<std::uint32_t> closed;  // destinations whose cap is reached, ascending
   std::vector<std::string> out;       // that fail across the fleet, and may rest; ascending
@@ -72,6 +72,6 @@
               const std::vector<std::string>& before);
 
 // Those of the list that may not rest.
-std::vector<std::string> kept(const Verdict& verdict, const std::vector<Listed>& listed);
+std::vector<std::string> exempt_endpoints(const Verdict& verdict, const std::vector<Listed>& listed);
 
 }  // namespace fennellane::ejection
--- a/src/ejection/reporter.hpp
+++ b/src/ejection/reporter.hpp
@@ -20,36 +20,36 @@
   std::string relay;
   Time every = std::chrono::seconds(2);   // between two looks at what rests
   Time stale = std::chrono::seconds(15);  // a verdict, or a report, that is not renewed
-  std::size_t most = 256;                 // endpoints in one report, the worst first
+  std::size_t max_endpoints = 256;        // endpoints in one report, the worst first
   bool operator==(const ReporterSettings&) const = default;
 };
 // A report or a verdict that does not change is written anew so often.
 inline Time renew_every(Time stale) { return stale / 3; }
 
 // --- What the caller tells
-struct LookDue {
+struct CheckTimerExpired {
   View view;
 };
 struct VerdictSeen {
   std::optional<Verdict> verdict;  // none: the key is not there
-  bool afresh = false;             // Consul's index went backwards: tokens may begin anew
+  bool index_reset = false;        // Consul's index went backwards: tokens may begin anew
 };
-using ReporterInput = std::variant<LookDue, VerdictSeen>;
+using ReporterInput = std::variant<CheckTimerExpired, VerdictSeen>;
 
 // --- What the caller does
 struct WriteReport {
   Report report;
 };
-struct SetLookTimer {  // replaces the one before
+struct SetCheckTimer {  // replaces the one before
   Time at{};
 };
 struct CapEndpoints {  // in force from now on; none: no cap
   std::optional<Verdict> verdict;
 };
-struct ReporterSaid {
+struct ReporterLogMessage {
   std::string text;
 };
-using ReporterEffect = std::variant<WriteReport, SetLookTimer, CapEndpoints, ReporterSaid>;
+using ReporterEffect = std::variant<WriteReport, SetCheckTimer, CapEndpoints, ReporterLogMessage>;
 
 class Reporter {
  public:
@@ -60,24 +60,24 @@
 
   // A process that took over from another goes on counting its reports; the cap comes with the next verdict.
   template <class Archive>
-  void remember(Archive& archive) {
-    archive(beat_);
+  void serialize_state(Archive& archive) {
+    archive(heartbeat_);
   }
 
  private:
   using Effects = std::vector<ReporterEffect>;
-  void on(Time now, const LookDue& look, Effects& out);
+  void on(Time now, const CheckTimerExpired& look, Effects& out);
   void on(Time now, const VerdictSeen& seen, Effects& out);
   void lift(const std::string& why, Effects& out);
 
   const ReporterSettings settings_;
-  std::uint64_t beat_ = 0;
-  std::vector<Ailing> reported_;
+  std::uint64_t heartbeat_ = 0;
+  std::vector<DegradedEndpoint> reported_;
   std::optional<Time> reported_at_;
   Token top_ = 0;                  // the highest seen: a lower one is an old arbiter's
   std::optional<Verdict> newest_;  // heard; it may be old when it is the first
   std::optional<Verdict> cap_;     // in force
-  Time heard_at_{};                // when it was renewed last
+  Time renewed_at_{};              // when it was renewed last
 };
 
 }  // namespace fennellane::ejection
--- a/src/fleet/fleet_memory.hpp
+++ b/src/fleet/fleet_snapshot.hpp
@@ -1,22 +1,22 @@
 // The fleet's part of the reducer's memory. What the sweep has seen is not in it: its time begins anew.
 #pragma once
 
-#include "drain_memory.hpp"
-#include "lease_memory.hpp"
+#include "drain_snapshot.hpp"
+#include "lease_snapshot.hpp"
 #include "roles.hpp"
 
 namespace fennellane::fleet {
 
 template <class Archive>
-void Fleet::remember(Archive& archive) {
-  for (lease::Lease& lease : leases_) lease.remember(archive);
+void Fleet::serialize_state(Archive& archive) {
+  for (lease::Lease& lease : leases_) lease.serialize_state(archive);
   archive(counts_.acquired, counts_.renews_missed, counts_.lapsed, counts_.lost, counts_.given_up,
           counts_.swept, counts_.sweeps_refused, counts_.lists_shared, counts_.shares_refused,
           counts_.lists_followed, counts_.reports, counts_.verdicts, counts_.verdicts_refused,
           counts_.capped);
-  if (slot_) slot_->remember(archive);
-  if (mover_) mover_->remember(archive);
-  if (reporter_) reporter_->remember(archive);
+  if (slot_) slot_->serialize_state(archive);
+  if (mover_) mover_->serialize_state(archive);
+  if (reporter_) reporter_->serialize_state(archive);
 }
 
 }  // namespace fennellane::fleet
--- a/src/fleet/refresh.cpp
+++ b/src/fleet/refresh.cpp
@@ -7,84 +7,85 @@
 Refresh::Effects Refresh::handle(Time now, const RefreshInput& input) {
   Effects out;
   std::visit([&](const auto& i) { on(now, i, out); }, input);
-  arm(now, out);
+  set_timer(now, out);
   return out;
 }
 
 // The next moment at which something is due: a beat, or its own watch for want of news.
-void Refresh::arm(Time now, Effects& out) {
+void Refresh::set_timer(Time now, Effects& out) {
   if (!running_) return;
   if (token_) {
-    out.emplace_back(SetRefreshTimer{std::max(now, next_beat_)});
-  } else if (!own_) {
+    out.emplace_back(SetRefreshTimer{std::max(now, next_heartbeat_at_)});
+  } else if (!watching_discovery_) {
     out.emplace_back(SetRefreshTimer{std::max(now, fallback_at_)});
   }
 }
 
-void Refresh::news(Time now, Time stale_after) {
+void Refresh::postpone_fallback(Time now, Time stale_after) {
   // Guards discovery against all who miss the same beat coming in one moment.
-  fallback_at_ = now + stale_after +
-                 Time(std::uniform_int_distribution<Time::rep>(0, settings_.spread.count())(random_));
+  fallback_at_ =
+      now + stale_after +
+      Time(std::uniform_int_distribution<Time::rep>(0, settings_.fallback_spread.count())(random_));
 }
 
-void Refresh::start_own(Effects& out) {
-  if (own_) return;
-  own_ = true;
-  heard_at_.reset();
-  out.emplace_back(StartOwn{version_});
+void Refresh::start_discovery_watch(Effects& out) {
+  if (watching_discovery_) return;
+  watching_discovery_ = true;
+  discovery_answered_at_.reset();
+  out.emplace_back(StartDiscoveryWatch{version_});
 }
 
-void Refresh::on(Time now, const RefreshBegin& begin, Effects& out) {
-  const bool moved = running_ && begin.moved;
+void Refresh::on(Time now, const RefreshStarted& begin, Effects& out) {
+  const bool moved = running_ && begin.discovery_moved;
   running_ = true;
   source_ = begin.source;
   if (moved) {
     version_.reset();
-    news_any_ = false;
-    beat_.reset();
-    if (own_) out.emplace_back(StopOwn{});
-    own_ = false;
-    start_own(out);
+    heartbeat_advanced_ = false;
+    newest_head_.reset();
+    if (watching_discovery_) out.emplace_back(StopDiscoveryWatch{});
+    watching_discovery_ = false;
+    start_discovery_watch(out);
     return;
   }
   if (begin.known && !version_) {
     version_ = begin.known->version;
     text_ = begin.known->text;
-    unpublished_ = doubted_ = true;
+    unpublished_ = applied_as_cached_ = true;
   }
-  if (token_) start_own(out);
-  news(now, settings_.beat / 2);
+  if (token_) start_discovery_watch(out);
+  postpone_fallback(now, settings_.heartbeat / 2);
 }
 
-void Refresh::on(Time, const RefreshPause&, Effects& out) {
+void Refresh::on(Time, const RefreshPaused&, Effects& out) {
   running_ = false;
-  if (own_) out.emplace_back(StopOwn{});
-  own_ = false;
+  if (watching_discovery_) out.emplace_back(StopDiscoveryWatch{});
+  watching_discovery_ = false;
   if (token_) out.emplace_back(StepDown{});
 }
 
-void Refresh::on(Time now, const OwnHeard&, Effects& out) {
-  if (!own_) return;
-  const bool was_alive = alive(now);
-  heard_at_ = now;
+void Refresh::on(Time now, const DiscoveryAnswered&, Effects& out) {
+  if (!watching_discovery_) return;
+  const bool was_alive = discovery_alive(now);
+  discovery_answered_at_ = now;
   if (token_ && !was_alive) publish(now, unpublished_, out);
 }
 
-void Refresh::on(Time now, const OwnList& list, Effects& out) {
-  if (!own_) return;
-  heard_at_ = now;
+void Refresh::on(Time now, const DiscoveredList& list, Effects& out) {
+  if (!watching_discovery_) return;
+  discovery_answered_at_ = now;
   version_ = list.version;
   text_ = list.text;
-  doubted_ = false;
+  applied_as_cached_ = false;
   unpublished_ = true;
   if (token_) publish(now, true, out);
 }
 
 void Refresh::publish(Time now, bool with_list, Effects& out) {
-  if (!token_ || publishing_ || !version_ || !alive(now)) return;
+  if (!token_ || publishing_ || !version_ || !discovery_alive(now)) return;
   publishing_ = true;
-  next_beat_ = now + settings_.beat;
-  Publish p{session_, {*token_, ++beats_, *version_, source_}, std::nullopt};
+  next_heartbeat_at_ = now + settings_.heartbeat;
+  Publish p{session_, {*token_, ++heartbeat_count_, *version_, source_}, std::nullopt};
   if (with_list) {
     p.text = text_;
     unpublished_ = false;
@@ -95,126 +96,129 @@
 void Refresh::on(Time now, const Published& p, Effects& out) {
   publishing_ = false;
   const bool ours = token_ == p.token;
-  if (p.how != Published::How::taken || !ours) unpublished_ = true;
+  if (p.result != Published::Result::accepted || !ours) unpublished_ = true;
   // It has changed meanwhile, or the role was taken up anew while an answer to the old one was out.
-  if (unpublished_ && (p.how == Published::How::taken || !ours)) publish(now, true, out);
-  if (p.how == Published::How::refused)
+  if (unpublished_ && (p.result == Published::Result::accepted || !ours)) publish(now, true, out);
+  if (p.result == Published::Result::refused)
     out.emplace_back(
-        RefreshSaid{"the list was refused, as the role has changed, token " + std::to_string(p.token)});
+        RefreshLogMessage{"the list was refused, as the role has changed, token " + std::to_string(p.token)});
 }
 
-void Refresh::on(Time now, const BeatSeen& seen, Effects& out) {
+void Refresh::on(Time now, const HeartbeatRead& seen, Effects& out) {
   if (!running_) return;
-  if (seen.afresh) {
-    top_ = 0;
-    beat_.reset();
+  if (seen.index_reset) {
+    highest_token_ = 0;
+    newest_head_.reset();
   }
-  if (!seen.beat) {
+  if (!seen.head) {
     // Nobody has ever shared a list.
-    if (!token_ && !version_) start_own(out);
+    if (!token_ && !version_) start_discovery_watch(out);
     return;
   }
-  const SharedHead& head = *seen.beat;
-  if (head.source != source_ || head.token < top_) return;
-  top_ = std::max(top_, head.token);
-  const bool newer = beat_ && (head.token > beat_->token || head.beat > beat_->beat);
-  const bool first = !beat_;
-  if (newer || first) beat_ = head;
+  const SharedHead& head = *seen.head;
+  if (head.source != source_ || head.token < highest_token_) return;
+  highest_token_ = std::max(highest_token_, head.token);
+  const bool newer =
+      newest_head_ && (head.token > newest_head_->token || head.heartbeat > newest_head_->heartbeat);
+  const bool first = !newest_head_;
+  if (newer || first) newest_head_ = head;
   if (token_) return;  // its own
   // Of the first beat nobody knows how old it is; one that follows it is fresh.
   if (newer) {
-    news_any_ = true;
-    news(now, settings_.stale);
+    heartbeat_advanced_ = true;
+    postpone_fallback(now, settings_.stale_after);
   }
-  if ((newer || first) && (!version_ || head.version > *version_) && !reading_) {
-    reading_ = true;
-    out.emplace_back(ReadList{});
+  if ((newer || first) && (!version_ || head.version > *version_) && !reading_list_) {
+    reading_list_ = true;
+    out.emplace_back(ReadSharedList{});
   } else if (newer) {
-    confirm(out);
-    follow(out);
+    confirm_list(out);
+    follow_shared_list(out);
   }
 }
 
 // A list that was maybe old is as discovery has it, now that its beat has gone on.
-void Refresh::confirm(Effects& out) {
-  if (!doubted_ || own_ || !beat_ || beat_->version != version_) return;
-  doubted_ = false;
-  out.emplace_back(TakeList{text_, false});
+void Refresh::confirm_list(Effects& out) {
+  if (!applied_as_cached_ || watching_discovery_ || !newest_head_ || newest_head_->version != version_)
+    return;
+  applied_as_cached_ = false;
+  out.emplace_back(ApplyList{text_, false});
 }
 
 // Its own watch ends where the shared list is as new.
-void Refresh::follow(Effects& out) {
-  if (!own_ || token_ || !version_ || !beat_ || beat_->version < *version_) return;
-  own_ = false;
-  out.emplace_back(StopOwn{});
-  out.emplace_back(RefreshSaid{"follows the shared list, version " + std::to_string(*version_)});
+void Refresh::follow_shared_list(Effects& out) {
+  if (!watching_discovery_ || token_ || !version_ || !newest_head_ || newest_head_->version < *version_)
+    return;
+  watching_discovery_ = false;
+  out.emplace_back(StopDiscoveryWatch{});
+  out.emplace_back(RefreshLogMessage{"follows the shared list, version " + std::to_string(*version_)});
 }
 
-void Refresh::on(Time now, const ListSeen& seen, Effects& out) {
-  reading_ = false;
+void Refresh::on(Time now, const SharedListRead& seen, Effects& out) {
+  reading_list_ = false;
   if (!running_ || token_) return;
-  const bool usable = seen.good && seen.head.source == source_ && seen.head.token >= top_ &&
+  const bool usable = seen.ok && seen.head.source == source_ && seen.head.token >= highest_token_ &&
                       (!version_ || seen.head.version >= *version_);
   if (!usable) return;
   const bool changed = !version_ || seen.head.version > *version_;
   version_ = seen.head.version;
   text_ = seen.text;
   unpublished_ = true;
-  const bool cached = !fresh(now);
+  const bool cached = !shared_list_fresh(now);
   if (changed) {
-    doubted_ = cached;
-    out.emplace_back(TakeList{seen.text, cached});
+    applied_as_cached_ = cached;
+    out.emplace_back(ApplyList{seen.text, cached});
   }
-  if (fresh(now)) follow(out);
+  if (shared_list_fresh(now)) follow_shared_list(out);
   // The beat may have gone on while the list was read.
-  if (beat_ && beat_->version > *version_) {
-    reading_ = true;
-    out.emplace_back(ReadList{});
+  if (newest_head_ && newest_head_->version > *version_) {
+    reading_list_ = true;
+    out.emplace_back(ReadSharedList{});
   }
 }
 
-void Refresh::on(Time now, const RefreshDue&, Effects& out) {
+void Refresh::on(Time now, const RefreshTimerExpired&, Effects& out) {
   if (!running_) return;
   if (!token_) {
-    if (own_ || now < fallback_at_) return;
-    out.emplace_back(RefreshSaid{"no news of the shared list: watches discovery itself"});
-    news_any_ = false;
-    start_own(out);
+    if (watching_discovery_ || now < fallback_at_) return;
+    out.emplace_back(RefreshLogMessage{"no news of the shared list: watches discovery itself"});
+    heartbeat_advanced_ = false;
+    start_discovery_watch(out);
     return;
   }
-  if (now < next_beat_) return;
-  next_beat_ = now + settings_.beat;
-  if (alive(now)) {
-    useful_at_ = now;
+  if (now < next_heartbeat_at_) return;
+  next_heartbeat_at_ = now + settings_.heartbeat;
+  if (discovery_alive(now)) {
+    discovery_ok_at_ = now;
     publish(now, unpublished_, out);
-  } else if (now - useful_at_ >= settings_.patience) {
-    out.emplace_back(RefreshSaid{"gives the role up, as discovery is not heard"});
+  } else if (now - discovery_ok_at_ >= settings_.discovery_timeout) {
+    out.emplace_back(RefreshLogMessage{"gives the role up, as discovery is not heard"});
     out.emplace_back(StepDown{});
   }
 }
 
-Refresh::Effects Refresh::acts(Time now, Token token, const std::string& session) {
+Refresh::Effects Refresh::activate(Time now, Token token, const std::string& session) {
   Effects out;
   token_ = token;
   session_ = session;
-  top_ = std::max(top_, token);
-  useful_at_ = now;
-  next_beat_ = now;
+  highest_token_ = std::max(highest_token_, token);
+  discovery_ok_at_ = now;
+  next_heartbeat_at_ = now;
   unpublished_ = true;
   if (running_) {
-    start_own(out);
+    start_discovery_watch(out);
     publish(now, true, out);
   }
-  arm(now, out);
+  set_timer(now, out);
   return out;
 }
 
-Refresh::Effects Refresh::stops(Time now) {
+Refresh::Effects Refresh::deactivate(Time now) {
   Effects out;
   token_.reset();
-  news_any_ = false;
-  news(now, settings_.stale);
-  arm(now, out);
+  heartbeat_advanced_ = false;
+  postpone_fallback(now, settings_.stale_after);
+  set_timer(now, out);
   return out;
 }
 
