--- a/src/fleet/roles.hpp
+++ b/src/fleet/roles.hpp
@@ -17,7 +17,7 @@
 #include "reporter.hpp"
 #include "slot.hpp"
 #include "sweep.hpp"
-#include "written.hpp"
+#include "write_result.hpp"
 
 namespace fennellane::fleet {
 
@@ -40,50 +40,50 @@
 inline constexpr const char* kDrainRole = "drain";
 
 // --- Inputs
-struct Seek {};    // the relay is ready: its roles are sought
-struct Resign {};  // it is to stop: they are given up, so that others need not wait for a lapse
-struct LeaseHeard {
+struct AcquireRoles {};  // the relay is ready: its roles are sought
+struct ResignRoles {};   // it is to stop: they are given up, so that others need not wait for a lapse
+struct LeaseInput {
   std::uint32_t role = 0;
   lease::Input input;
 };
 struct RegistrationsRead {  // the answer to ReadRegistrations
   Token token = 0;          // as asked with
-  bool good = false;        // false: there was none
-  std::vector<Registration> all;
+  bool ok = false;          // false: there was none
+  std::vector<Registration> registrations;
 };
 struct RegistrationsRemoved {  // the answer to RemoveRegistrations
   Token token = 0;
-  using How = lease::Written;
-  How how{};
+  using Result = lease::WriteResult;
+  Result result{};
 };
-struct WorkDue {};  // the timer that SetWorkTimer asked for
-struct RefreshHeard {
+struct SweepTimerExpired {};  // the timer that SetWorkTimer asked for
+struct RefreshRoleInput {
   RefreshInput input;
 };
-struct DrainHeard {
+struct DrainInput {
   drain::Input input;
 };
-struct ReleaseSeen {  // by the mover and the coordinator
-  release::StateSeen seen;
+struct ReleaseStateInput {  // by the mover and the coordinator
+  release::StateSeen input;
 };
-struct MoverHeard {
+struct MoverInput {
   release::MoverInput input;
 };
-struct CoordinatorHeard {
+struct CoordinatorInput {
   release::CoordinatorInput input;
 };
-struct ReporterHeard {
+struct ReporterInput {
   ejection::ReporterInput input;
 };
-struct ArbiterHeard {
+struct ArbiterInput {
   ejection::ArbiterInput input;
 };
-using Input =
-    std::variant<Seek, Resign, LeaseHeard, RegistrationsRead, RegistrationsRemoved, WorkDue, RefreshHeard,
-                 DrainHeard, ReleaseSeen, MoverHeard, CoordinatorHeard, ReporterHeard, ArbiterHeard>;
+using Input = std::variant<AcquireRoles, ResignRoles, LeaseInput, RegistrationsRead, RegistrationsRemoved,
+                           SweepTimerExpired, RefreshRoleInput, DrainInput, ReleaseStateInput, MoverInput,
+                           CoordinatorInput, ReporterInput, ArbiterInput>;
 
 // --- Effects
-struct LeaseDo {
+struct LeaseEffect {
   std::uint32_t role = 0;
   lease::Effect effect;
 };
@@ -94,34 +94,35 @@
 struct RemoveRegistrations {
   std::string session;
   Token token = 0;
-  std::vector<Registration> which;
+  std::vector<Registration> registrations;
 };
-struct SetWorkTimer {  // replaces the one before
+struct SetSweepTimer {  // replaces the one before
   Time at{};
 };
-struct Swept {  // for the log
+struct SweepLogMessage {  // for the log
   std::string text;
 };
-struct RefreshDo {  // of all but StepDown, which ends at the lease
+struct RefreshRoleEffect {  // of all but StepDown, which ends at the lease
   RefreshEffect effect;
 };
-struct DrainDo {  // GoOut of all but a release, which the mover takes up
+struct DrainEffect {  // GoOut of all but a release, which the mover takes up
   drain::Effect effect;
 };
-struct MoverDo {  // Move, WriteReport, SetReportTimer
+struct MoverEffect {  // Move, WriteReport, SetReportTimer
   release::MoverEffect effect;
 };
-struct CoordinatorDo {
+struct CoordinatorEffect {
   release::CoordinatorEffect effect;
 };
-struct ReporterDo {  // CapEndpoints ends at the reducer
+struct ReporterEffect {  // CapEndpoints ends at the reducer
   ejection::ReporterEffect effect;
 };
-struct ArbiterDo {
+struct ArbiterEffect {
   ejection::ArbiterEffect effect;
 };
-using Effect = std::variant<LeaseDo, ReadRegistrations, RemoveRegistrations, SetWorkTimer, Swept, RefreshDo,
-                            DrainDo, MoverDo, CoordinatorDo, ReporterDo, ArbiterDo>;
+using Effect = std::variant<LeaseEffect, ReadRegistrations, RemoveRegistrations, SetSweepTimer,
+                            SweepLogMessage, RefreshRoleEffect, DrainEffect, MoverEffect, CoordinatorEffect,
+                            ReporterEffect, ArbiterEffect>;
 
 struct Counts {
   std::uint64_t acquired = 0, renews_missed = 0, lapsed = 0, lost = 0, given_up = 0;
@@ -137,42 +138,42 @@
   std::vector<Effect> handle(Time now, const Input& input);
 
   // What its memory holds, in order: another's can be taken up where both have the same.
-  std::vector<std::string> parts() const;
+  std::vector<std::string> snapshot_parts() const;
   const Counts& counts() const { return counts_; }
-  bool follows() const { return refresh_ && refresh_->follows(); }  // the shared list
+  bool follows_shared_list() const { return refresh_ && refresh_->follows_shared_list(); }  // the shared list
   const drain::Slot* slot() const { return slot_ ? &*slot_ : nullptr; }
   // Null where there is no cap on endpoints out; else the one in force, if any.
   const std::optional<ejection::Verdict>* cap() const { return reporter_ ? &reporter_->cap() : nullptr; }
 
   // Of a process that takes over from another: the leases go on, what was under way is asked for again.
   template <class Archive>
-  void remember(Archive& archive);
+  void serialize_state(Archive& archive);
   std::vector<Effect> resume(Time now);
 
  private:
   using Effects = std::vector<Effect>;
-  void on(Time now, const Seek&, Effects& out);
-  void on(Time now, const Resign&, Effects& out);
-  void on(Time now, const LeaseHeard& heard, Effects& out);
+  void on(Time now, const AcquireRoles&, Effects& out);
+  void on(Time now, const ResignRoles&, Effects& out);
+  void on(Time now, const LeaseInput& heard, Effects& out);
   void on(Time now, const RegistrationsRead& read, Effects& out);
   void on(Time now, const RegistrationsRemoved& removed, Effects& out);
-  void on(Time now, const WorkDue&, Effects& out);
-  void on(Time now, const RefreshHeard& heard, Effects& out);
-  void on(Time now, const DrainHeard& heard, Effects& out);
-  void on(Time now, const ReleaseSeen& seen, Effects& out);
-  void on(Time now, const MoverHeard& heard, Effects& out);
-  void on(Time now, const CoordinatorHeard& heard, Effects& out);
-  void on(Time now, const ReporterHeard& heard, Effects& out);
-  void on(Time now, const ArbiterHeard& heard, Effects& out);
-  void refresh(Time now, Refresh::Effects effects, Effects& out);
-  void slot(Time now, std::vector<drain::Effect> effects, Effects& out);
-  void mover(Time now, std::vector<release::MoverEffect> effects, Effects& out);
-  void coordinator(Time now, std::vector<release::CoordinatorEffect> effects, Effects& out);
-  void arbiter(Time now, std::vector<ejection::ArbiterEffect> effects, Effects& out);
-  void tell(Time now, std::uint32_t role, const lease::Input& input, Effects& out);
-  void work_later(Time at, Effects& out);
+  void on(Time now, const SweepTimerExpired&, Effects& out);
+  void on(Time now, const RefreshRoleInput& heard, Effects& out);
+  void on(Time now, const DrainInput& heard, Effects& out);
+  void on(Time now, const ReleaseStateInput& seen, Effects& out);
+  void on(Time now, const MoverInput& heard, Effects& out);
+  void on(Time now, const CoordinatorInput& heard, Effects& out);
+  void on(Time now, const ReporterInput& heard, Effects& out);
+  void on(Time now, const ArbiterInput& heard, Effects& out);
+  void handle_refresh_effects(Time now, Refresh::Effects effects, Effects& out);
+  void handle_slot_effects(Time now, std::vector<drain::Effect> effects, Effects& out);
+  void handle_mover_effects(Time now, std::vector<release::MoverEffect> effects, Effects& out);
+  void handle_coordinator_effects(Time now, std::vector<release::CoordinatorEffect> effects, Effects& out);
+  void handle_arbiter_effects(Time now, std::vector<ejection::ArbiterEffect> effects, Effects& out);
+  void handle_lease_input(Time now, std::uint32_t role, const lease::Input& input, Effects& out);
+  void schedule_sweep(Time at, Effects& out);
   // The sweep's lease, where it may act with this token now.
-  const lease::Lease* sweeping(Time now, Token token) const;
+  const lease::Lease* active_sweep_lease(Time now, Token token) const;
 
   std::vector<std::string> roles_;
   std::vector<lease::Lease> leases_;  // by role
@@ -187,8 +188,8 @@
   std::optional<ejection::Reporter> reporter_;
   std::optional<std::uint32_t> ejection_role_;
   std::optional<ejection::Arbiter> arbiter_;
-  bool working_ = false;      // a call of the sweep's is out
-  std::size_t removing_ = 0;  // registrations, in the transaction that is out
+  bool sweep_call_in_flight_ = false;   // a call of the sweep's is out
+  std::size_t removals_in_flight_ = 0;  // registrations, in the transaction that is out
   Counts counts_;
 };
 
--- a/src/fleet/sweep.cpp
+++ b/src/fleet/sweep.cpp
@@ -4,7 +4,7 @@
 
 namespace fennellane::fleet {
 
-std::vector<Registration> Sweep::look(Time now, const std::vector<Registration>& all) {
+std::vector<Registration> Sweep::find_stale(Time now, const std::vector<Registration>& all) {
   std::vector<Registration> stale;
   decltype(critical_since_) critical;
   for (const Registration& r : all) {
@@ -15,7 +15,8 @@
     const bool same = known != critical_since_.end() && known->second.check_index == r.check_index;
     const Seen seen = same ? known->second : Seen{r.check_index, now};
     critical[key] = seen;
-    if (now - seen.since >= settings_.stale_after && stale.size() < settings_.most) stale.push_back(r);
+    if (now - seen.since >= settings_.stale_after && stale.size() < settings_.max_removals)
+      stale.push_back(r);
   }
   critical_since_ = std::move(critical);
   return stale;
--- a/src/fleet/sweep.hpp
+++ b/src/fleet/sweep.hpp
@@ -23,7 +23,7 @@
   std::string service;                          // of the relays themselves
   Time every = std::chrono::seconds(30);        // between two looks at the catalogue
   Time stale_after = std::chrono::minutes(15);  // critical for so long, as this holder has seen it
-  std::size_t most = 16;                        // removed in one transaction: Consul takes 64 operations
+  std::size_t max_removals = 16;                // removed in one transaction: Consul takes 64 operations
   bool operator==(const SweepSettings&) const = default;
 };
 
@@ -41,10 +41,10 @@
 
   // What the newest look shows; returns those to be removed now, at most `most`. What is not in it is
   // forgotten, so that nothing grows with the registrations that ever were.
-  std::vector<Registration> look(Time now, const std::vector<Registration>& all);
+  std::vector<Registration> find_stale(Time now, const std::vector<Registration>& all);
   // A new holder has seen nothing yet: it does not go by what another relay saw on another clock.
-  void begin() { critical_since_.clear(); }
-  std::size_t watched() const { return critical_since_.size(); }
+  void reset() { critical_since_.clear(); }
+  std::size_t tracked_count() const { return critical_since_.size(); }
   Time every() const { return settings_.every; }
 
  private:
--- a/src/handover/frame.cpp
+++ b/src/handover/frame.cpp
@@ -10,34 +10,34 @@
 namespace {
 
 constexpr char kMagic[4] = {'F', 'N', 'H', 'O'};
-struct Head {  // as it goes over; both sides are on one machine
+struct FrameHeader {  // as it goes over; both sides are on one machine
   char magic[4];
   std::uint32_t type;
   std::uint64_t size;
   std::uint64_t checksum;
 };
-constexpr std::size_t kTypes = std::variant_size_v<Message>;
-constexpr std::size_t kState = 3;
-static_assert(std::is_same_v<std::variant_alternative_t<kState, Message>, State>);
+constexpr std::size_t kMessageTypes = std::variant_size_v<Message>;
+constexpr std::size_t kStateType = 3;
+static_assert(std::is_same_v<std::variant_alternative_t<kStateType, Message>, State>);
 
-std::string written(const Json::Value& value) {
+std::string json_text(const Json::Value& value) {
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   return Json::writeString(builder, value);
 }
 
-struct Body {
+struct BodyEncoder {
   std::string operator()(const Offer& m) const {
     Json::Value v;
     v["handover"] = m.versions.handover;
     v["journal"] = m.versions.journal;
     v["generation"] = Json::UInt64(m.generation);
-    return written(v);
+    return json_text(v);
   }
   std::string operator()(const Refuse& m) const {
     Json::Value v;
-    v["why"] = m.why;
-    return written(v);
+    v["why"] = m.reason;
+    return json_text(v);
   }
   std::string operator()(const State& m) const { return m.bytes; }
   std::string operator()(const StateEnd& m) const {
@@ -45,12 +45,12 @@
     v["size"] = Json::UInt64(m.size);
     v["checksum"] = Json::UInt64(m.checksum);
     v["journal_bytes"] = Json::UInt64(m.journal_bytes);
-    return written(v);
+    return json_text(v);
   }
-  std::string operator()(const Go& m) const {
+  std::string operator()(const TakeOver& m) const {
     Json::Value v;
     v["generation"] = Json::UInt64(m.generation);
-    return written(v);
+    return json_text(v);
   }
   template <class Plain>
   std::string operator()(const Plain&) const {
@@ -58,7 +58,7 @@
   }
 };
 
-Json::Value parsed(const std::string& body) {
+Json::Value parse_body(const std::string& body) {
   const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
   Json::Value value;
   if (!reader->parse(body.data(), body.data() + body.size(), &value, nullptr) || !value.isObject()) {
@@ -70,30 +70,30 @@
 Message decode(std::uint32_t type, std::string body) {
   switch (type) {
     case 0: {
-      const Json::Value v = parsed(body);
+      const Json::Value v = parse_body(body);
       return Offer{{v["handover"].asUInt(), v["journal"].asUInt()}, v["generation"].asUInt64()};
     }
     case 1:
       return Accept{};
     case 2:
-      return Refuse{parsed(body)["why"].asString()};
-    case kState:
+      return Refuse{parse_body(body)["why"].asString()};
+    case kStateType:
       return State{std::move(body)};
     case 4: {
-      const Json::Value v = parsed(body);
+      const Json::Value v = parse_body(body);
       return StateEnd{v["size"].asUInt64(), v["checksum"].asUInt64(), v["journal_bytes"].asUInt64()};
     }
     case 5:
       return Ready{};
     case 6:
-      return Go{parsed(body)["generation"].asUInt64()};
+      return TakeOver{parse_body(body)["generation"].asUInt64()};
     default:
-      return Taken{};
+      return TakeoverConfirmed{};
   }
 }
 
 // Of the type too: most messages have no body that would tell one from another.
-std::uint64_t checksum_of(std::uint32_t type, std::string_view body) {
+std::uint64_t frame_checksum(std::uint32_t type, std::string_view body) {
   return XXH3_64bits_withSeed(body.data(), body.size(), type);
 }
 
@@ -102,28 +102,28 @@
 std::uint64_t checksum(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
 std::string encode(const Message& message) {
-  const std::string body = std::visit(Body{}, message);
-  Head head{};
+  const std::string body = std::visit(BodyEncoder{}, message);
+  FrameHeader head{};
   std::memcpy(head.magic, kMagic, sizeof kMagic);
   head.type = static_cast<std::uint32_t>(message.index());
   head.size = body.size();
-  head.checksum = checksum_of(head.type, body);
+  head.checksum = frame_checksum(head.type, body);
   std::string out(sizeof head, '\0');
   std::memcpy(out.data(), &head, sizeof head);
   return out + body;
 }
 
 std::optional<Message> FrameReader::next() {
-  Head head;
+  FrameHeader head;
   if (bytes_.size() < sizeof head) return std::nullopt;
   std::memcpy(&head, bytes_.data(), sizeof head);
   if (std::memcmp(head.magic, kMagic, sizeof kMagic) != 0) throw FrameError("this is no handover message");
-  if (head.type >= kTypes) throw FrameError("a handover message of an unknown type");
-  if (head.size > most_body_) throw FrameError("a handover message is too long");
+  if (head.type >= kMessageTypes) throw FrameError("a handover message of an unknown type");
+  if (head.size > max_body_bytes_) throw FrameError("a handover message is too long");
   if (bytes_.size() - sizeof head < head.size) return std::nullopt;
   std::string body = bytes_.substr(sizeof head, head.size);
   bytes_.erase(0, sizeof head + head.size);
-  if (checksum_of(head.type, body) != head.checksum) throw FrameError("a handover message is damaged");
+  if (frame_checksum(head.type, body) != head.checksum) throw FrameError("a handover message is damaged");
   try {
     return decode(head.type, std::move(body));
   } catch (const Json::Exception&) {
--- a/src/handover/frame.hpp
+++ b/src/handover/frame.hpp
@@ -23,14 +23,14 @@
 
 class FrameReader {
  public:
-  explicit FrameReader(std::size_t most_body = 4 * kMiB) : most_body_(most_body) {}
+  explicit FrameReader(std::size_t most_body = 4 * kMiB) : max_body_bytes_(most_body) {}
   void feed(std::string_view bytes) { bytes_ += bytes; }
   // The next whole message, if there is one. Throws FrameError for what is none; the connection is of no use
   // then.
   std::optional<Message> next();
 
  private:
-  const std::size_t most_body_;
+  const std::size_t max_body_bytes_;
   std::string bytes_;
 };
 
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -4,12 +4,12 @@
 
 namespace fennellane::handover {
 
-const char* name_of(OldSide::Step step) {
+const char* step_name(OldSide::Step step) {
   constexpr const char* kNames[] = {"idle",    "starting", "offered", "sending",    "awaiting",
                                     "fencing", "going",    "killing", "reclaiming", "left"};
   return kNames[static_cast<std::size_t>(step)];
 }
-const char* name_of(NewSide::Step step) {
+const char* step_name(NewSide::Step step) {
   constexpr const char* kNames[] = {"waiting", "checking", "accepted", "building",
                                     "ready",   "claiming", "serving",  "ended"};
   return kNames[static_cast<std::size_t>(step)];
@@ -25,32 +25,32 @@
   return std::exchange(effects_, {});
 }
 
-void OldSide::on(const UpgradeAsked&) {
+void OldSide::on(const UpgradeRequested&) {
   if (step_ != Step::idle) {
-    effects_.push_back(Say{"an upgrade is under way"});
+    effects_.push_back(LogMessage{"an upgrade is under way"});
     return;
   }
   step_ = Step::starting;
   effects_.push_back(StartPeer{});
-  limit(limits_.start);
+  set_timer(limits_.start_timeout);
 }
 
-void OldSide::on(const Started& s) {
+void OldSide::on(const PeerStarted& s) {
   if (step_ != Step::starting) return;
   if (!s.failure.empty()) {
-    effects_.push_back(Say{"the new program cannot be started: " + s.failure});
+    effects_.push_back(LogMessage{"the new program cannot be started: " + s.failure});
     return thaw();
   }
   step_ = Step::offered;
   effects_.push_back(Send{Offer{versions_, generation_}});
 }
 
-void OldSide::on(const Received& r) {
+void OldSide::on(const MessageReceived& r) {
   // Guards against a peer that took over just as its time ran out: it has served, if only for a moment, and
   // nobody but the journal knows what it did.
-  if (fenced_ && std::holds_alternative<Taken>(r.message)) {
-    if (step_ == Step::going) return leave();
-    taken_ = true;
+  if (fenced_ && std::holds_alternative<TakeoverConfirmed>(r.message)) {
+    if (step_ == Step::going) return exit_after_handover();
+    peer_took_over_ = true;
     return;
   }
   if (step_ == Step::killing || step_ == Step::left || step_ == Step::idle) return;
@@ -59,57 +59,57 @@
     frozen_ = true;
     effects_.push_back(Freeze{});
     effects_.push_back(SendState{});
-    return limit(limits_.state);
+    return set_timer(limits_.state_timeout);
   }
   if (step_ == Step::awaiting && std::holds_alternative<Ready>(r.message)) {
     step_ = Step::fencing;
     effects_.push_back(StopTimer{});
     effects_.push_back(WriteFence{generation_ + 1});
-    fence_due_ = true;
+    fence_pending_ = true;
     return;
   }
   if (const Refuse* refuse = std::get_if<Refuse>(&r.message))
-    return give_up("the new program refuses: " + refuse->why);
-  give_up("a message came out of its place");
+    return abort_upgrade("the new program refuses: " + refuse->reason);
+  abort_upgrade("a message came out of its place");
 }
 
-void OldSide::on(const Spoilt& s) {
+void OldSide::on(const ChannelFailed& s) {
   if (step_ == Step::idle || step_ == Step::left || step_ == Step::killing) return;
-  give_up(s.why);
+  abort_upgrade(s.reason);
 }
 
 void OldSide::on(const StateSent& s) {
   if (step_ != Step::sending) return;
-  if (!s.failure.empty()) return give_up("the state cannot be sent: " + s.failure);
+  if (!s.failure.empty()) return abort_upgrade("the state cannot be sent: " + s.failure);
   step_ = Step::awaiting;
 }
 
-void OldSide::on(const Fenced& f) {
+void OldSide::on(const FenceWritten& f) {
   if (step_ == Step::reclaiming) {
     // Guards against going on without the journal: a process that can't take it back ends, and the next life
     // reads what is there.
     if (!f.failure.empty()) {
-      effects_.push_back(Say{"the journal cannot be taken back: " + f.failure});
-      return start_anew();
+      effects_.push_back(LogMessage{"the journal cannot be taken back: " + f.failure});
+      return restart_from_journal();
     }
     fenced_ = false;
     generation_ += 2;
     return thaw();
   }
   if (step_ != Step::fencing) return;
-  fence_due_ = false;
+  fence_pending_ = false;
   fenced_ = f.failure.empty();
   // What came while the fence was on its way counts now that it is known on which side it left the journal.
-  if (std::exchange(peer_dead_, false)) return back_from_the_dead();
-  if (!fenced_) return give_up("the fence cannot be written: " + f.failure);
-  if (!trouble_.empty()) return give_up(std::exchange(trouble_, {}));
+  if (std::exchange(peer_exited_, false)) return recover_after_peer_exit();
+  if (!fenced_) return abort_upgrade("the fence cannot be written: " + f.failure);
+  if (!pending_abort_reason_.empty()) return abort_upgrade(std::exchange(pending_abort_reason_, {}));
   step_ = Step::going;
-  effects_.push_back(Send{Go{generation_ + 1}});
-  limit(limits_.taken);
+  effects_.push_back(Send{TakeOver{generation_ + 1}});
+  set_timer(limits_.takeover_timeout);
 }
 
 // All that the peer had sent before its end has been received, so a `taken` would have been seen.
-void OldSide::on(const PeerDead&) {
+void OldSide::on(const PeerExited&) {
   effects_.push_back(StopTimer{});
   switch (step_) {
     case Step::idle:
@@ -117,38 +117,38 @@
     case Step::reclaiming:
       return;
     case Step::fencing:
-      peer_dead_ = true;
+      peer_exited_ = true;
       return;
     default:
       break;
   }
   if (step_ != Step::killing)
-    effects_.push_back(Say{std::string("the new program ended at step ") + name_of(step_)});
-  back_from_the_dead();
+    effects_.push_back(LogMessage{std::string("the new program ended at step ") + step_name(step_)});
+  recover_after_peer_exit();
 }
 
 // The peer is dead for certain.
-void OldSide::back_from_the_dead() {
-  if (taken_) return start_anew();
+void OldSide::recover_after_peer_exit() {
+  if (peer_took_over_) return restart_from_journal();
   if (!fenced_) return thaw();
   step_ = Step::reclaiming;
   effects_.push_back(WriteFence{generation_ + 2});
 }
 
-void OldSide::on(const TimeDue&) {
+void OldSide::on(const TimerExpired&) {
   if (step_ == Step::idle || step_ == Step::left || step_ == Step::killing || step_ == Step::reclaiming)
     return;
   if (step_ == Step::fencing) return;  // it was stopped
-  give_up(std::string("the new program is too slow at step ") + name_of(step_));
+  abort_upgrade(std::string("the new program is too slow at step ") + step_name(step_));
 }
 
 // The peer is killed first, and only its end opens the way back.
-void OldSide::give_up(const std::string& why) {
-  if (fence_due_) {
-    trouble_ = why;
+void OldSide::abort_upgrade(const std::string& why) {
+  if (fence_pending_) {
+    pending_abort_reason_ = why;
     return;
   }
-  effects_.push_back(Say{why + "; the old one serves on"});
+  effects_.push_back(LogMessage{why + "; the old one serves on"});
   effects_.push_back(StopTimer{});
   effects_.push_back(KillPeer{});
   step_ = Step::killing;
@@ -160,29 +160,29 @@
   if (std::exchange(frozen_, false)) effects_.push_back(Thaw{});
 }
 
-void OldSide::start_anew() {
-  effects_.push_back(Say{"this process starts anew from the journal, as after a crash"});
+void OldSide::restart_from_journal() {
+  effects_.push_back(LogMessage{"this process starts anew from the journal, as after a crash"});
   effects_.push_back(StopTimer{});
   step_ = Step::left;
-  effects_.push_back(StartAnew{});
+  effects_.push_back(RestartFromJournal{});
 }
 
-void OldSide::leave() {
+void OldSide::exit_after_handover() {
   effects_.push_back(StopTimer{});
   step_ = Step::left;
-  effects_.push_back(Leave{});
+  effects_.push_back(ExitAfterHandover{});
 }
 
 std::string OldSide::fingerprint() const {
   return std::to_string(static_cast<int>(step_)) + "," + std::to_string(generation_) + (frozen_ ? "f" : "") +
-         (fenced_ ? "F" : "") + (taken_ ? "t" : "") + (peer_dead_ ? "d" : "") + (fence_due_ ? "w" : "") +
-         (trouble_.empty() ? "" : "x");
+         (fenced_ ? "F" : "") + (peer_took_over_ ? "t" : "") + (peer_exited_ ? "d" : "") +
+         (fence_pending_ ? "w" : "") + (pending_abort_reason_.empty() ? "" : "x");
 }
 
 // --- The new side
 std::string NewSide::fingerprint() const {
   return std::to_string(static_cast<int>(step_)) + "," + std::to_string(offer_.generation) + "," +
-         std::to_string(received_);
+         std::to_string(received_bytes_);
 }
 
 NewSide::NewSide(const Versions& versions, const Limits& limits) : versions_(versions), limits_(limits) {}
@@ -193,7 +193,7 @@
   return std::exchange(effects_, {});
 }
 
-void NewSide::on(const Received& r) {
+void NewSide::on(const MessageReceived& r) {
   if (step_ == Step::ended || step_ == Step::serving) return;
   if (const Offer* offer = std::get_if<Offer>(&r.message); offer && step_ == Step::waiting) {
     offer_ = *offer;
@@ -207,30 +207,30 @@
                     std::to_string(offer->versions.journal));
     }
     step_ = Step::checking;
-    effects_.push_back(Check{});
+    effects_.push_back(CheckConfiguration{});
     return;
   }
   if (const State* state = std::get_if<State>(&r.message); state && step_ == Step::accepted) {
-    received_ += state->bytes.size();
-    if (received_ > limits_.most_state) refuse("the state is larger than its bound");
+    received_bytes_ += state->bytes.size();
+    if (received_bytes_ > limits_.max_state_bytes) refuse("the state is larger than its bound");
     return;
   }
   if (const StateEnd* end = std::get_if<StateEnd>(&r.message); end && step_ == Step::accepted) {
-    if (end->size != received_) return refuse("the state is not whole");
+    if (end->size != received_bytes_) return refuse("the state is not whole");
     step_ = Step::building;
-    effects_.push_back(Build{*end});
+    effects_.push_back(BuildState{*end});
     return;
   }
-  if (const Go* go = std::get_if<Go>(&r.message); go && step_ == Step::ready) {
-    if (go->generation != offer_.generation + 1) return end("told to go as another generation");
+  if (const TakeOver* go = std::get_if<TakeOver>(&r.message); go && step_ == Step::ready) {
+    if (go->generation != offer_.generation + 1) return abort_handover("told to go as another generation");
     // Before anything else: its arrival is what the old side may rest on.
-    effects_.push_back(Send{Taken{}});
-    return serve(go->generation);
+    effects_.push_back(Send{TakeoverConfirmed{}});
+    return start_serving(go->generation);
   }
-  end("a message came out of its place");
+  abort_handover("a message came out of its place");
 }
 
-void NewSide::on(const Checked& c) {
+void NewSide::on(const PreparationFinished& c) {
   if (step_ != Step::checking && step_ != Step::building) return;
   if (!c.failure.empty()) return refuse(c.failure);
   const bool built = step_ == Step::building;
@@ -238,43 +238,44 @@
   effects_.push_back(Send{built ? Message(Ready{}) : Message(Accept{})});
 }
 
-void NewSide::on(const Spoilt& s) {
+void NewSide::on(const ChannelFailed& s) {
   if (step_ == Step::ended || step_ == Step::serving) return;
-  end(s.why);
+  abort_handover(s.reason);
 }
 
 // The old side thaws only over this one's corpse: if it is the old one that died, it did so frozen, and the
 // state that is here is all there is.
-void NewSide::on(const PeerDead&) {
+void NewSide::on(const PeerExited&) {
   if (step_ == Step::ended || step_ == Step::serving || step_ == Step::claiming) return;
-  if (step_ != Step::ready) return end("the old process ended before its state was here");
+  if (step_ != Step::ready) return abort_handover("the old process ended before its state was here");
   step_ = Step::claiming;
-  effects_.push_back(Say{"the old process ended with its state handed over: this one goes on with it"});
+  effects_.push_back(
+      LogMessage{"the old process ended with its state handed over: this one goes on with it"});
   effects_.push_back(WriteFence{offer_.generation + 1});
 }
 
-void NewSide::on(const Fenced& f) {
+void NewSide::on(const FenceWritten& f) {
   if (step_ != Step::claiming) return;
-  if (!f.failure.empty()) return end("the journal cannot be claimed: " + f.failure);
-  serve(offer_.generation + 1);
+  if (!f.failure.empty()) return abort_handover("the journal cannot be claimed: " + f.failure);
+  start_serving(offer_.generation + 1);
 }
 
-void NewSide::on(const TimeDue&) {}
+void NewSide::on(const TimerExpired&) {}
 
 void NewSide::refuse(const std::string& why) {
   effects_.push_back(Send{Refuse{why}});
-  end(why);
+  abort_handover(why);
 }
 
-void NewSide::end(const std::string& why) {
+void NewSide::abort_handover(const std::string& why) {
   step_ = Step::ended;
-  effects_.push_back(Say{why});
+  effects_.push_back(LogMessage{why});
   effects_.push_back(Exit{});
 }
 
-void NewSide::serve(Generation generation) {
+void NewSide::start_serving(Generation generation) {
   step_ = Step::serving;
-  effects_.push_back(Serve{generation});
+  effects_.push_back(StartServing{generation});
 }
 
 }  // namespace fennellane::handover
--- a/src/handover/handover.hpp
+++ b/src/handover/handover.hpp
@@ -47,7 +47,7 @@
   bool operator==(const Accept&) const = default;
 };
 struct Refuse {
-  std::string why;  // one line
+  std::string reason;  // one line
   bool operator==(const Refuse&) const = default;
 };
 struct State {
@@ -63,43 +63,45 @@
 struct Ready {
   bool operator==(const Ready&) const = default;
 };
-struct Go {
+struct TakeOver {
   Generation generation = 0;  // that the fence names
-  bool operator==(const Go&) const = default;
+  bool operator==(const TakeOver&) const = default;
 };
-struct Taken {
-  bool operator==(const Taken&) const = default;
+struct TakeoverConfirmed {
+  bool operator==(const TakeoverConfirmed&) const = default;
 };
-using Message = std::variant<Offer, Accept, Refuse, State, StateEnd, Ready, Go, Taken>;
+using Message = std::variant<Offer, Accept, Refuse, State, StateEnd, Ready, TakeOver, TakeoverConfirmed>;
 
 // --- Time limits, each for one step
 struct Limits {
-  Time start = std::chrono::seconds(10);        // from the start of the new program to its `accept`
-  Time state = std::chrono::milliseconds(400);  // from the freeze to `ready`: clients wait for so long
-  Time taken = std::chrono::milliseconds(200);  // from `go` to `taken`
-  std::uint64_t most_state = 512 * kMiB;        // bytes
+  Time start_timeout = std::chrono::seconds(10);  // from the start of the new program to its `accept`
+  Time state_timeout =
+      std::chrono::milliseconds(400);  // from the freeze to `ready`: clients wait for so long
+  Time takeover_timeout = std::chrono::milliseconds(200);  // from `go` to `taken`
+  std::uint64_t max_state_bytes = 512 * kMiB;              // bytes
 };
 
 // --- The old side
-struct UpgradeAsked {};
-struct Started {        // the new program was started, or was not
+struct UpgradeRequested {};
+struct PeerStarted {    // the new program was started, or was not
   std::string failure;  // empty = it was
 };
-struct Received {
+struct MessageReceived {
   Message message;
 };
-struct Spoilt {  // bytes came that are no message
-  std::string why;
+struct ChannelFailed {  // bytes came that are no message
+  std::string reason;
 };
-struct PeerDead {};  // the other process has ended, and all that it had sent has been received
+struct PeerExited {};  // the other process has ended, and all that it had sent has been received
 struct StateSent {
   std::string failure;  // empty = all of it was
 };
-struct Fenced {  // the record that `WriteFence` asked for was written, or was not
+struct FenceWritten {  // the record that `WriteFence` asked for was written, or was not
   std::string failure;
 };
-struct TimeDue {};
-using OldInput = std::variant<UpgradeAsked, Started, Received, Spoilt, PeerDead, StateSent, Fenced, TimeDue>;
+struct TimerExpired {};
+using OldInput = std::variant<UpgradeRequested, PeerStarted, MessageReceived, ChannelFailed, PeerExited,
+                              StateSent, FenceWritten, TimerExpired>;
 
 struct StartPeer {};  // answered by Started
 struct Send {
@@ -108,22 +110,22 @@
 struct Freeze {};     // nothing is read, written, sent or recorded from here on
 struct SendState {};  // State and StateEnd, with the descriptors; answered by StateSent
 struct WriteFence {   // answered by Fenced; whoever is not `to` can't append after it
-  Generation to = 0;
+  Generation owner = 0;
 };
-struct KillPeer {};   // calls off what SendState has begun; answered by PeerDead, once it has been reaped
-struct Thaw {};       // calls off the same; serve on, as if nothing had been
-struct Leave {};      // the other serves: this process ends, or only watches over it
-struct StartAnew {};  // from the journal, as after a crash: nobody serves, and what was done is known
-                      // to the journal alone
+struct KillPeer {};  // calls off what SendState has begun; answered by PeerDead, once it has been reaped
+struct Thaw {};      // calls off the same; serve on, as if nothing had been
+struct ExitAfterHandover {};   // the other serves: this process ends, or only watches over it
+struct RestartFromJournal {};  // from the journal, as after a crash: nobody serves, and what was done is
+                               // known to the journal alone
 struct SetTimer {
   Time at{};
 };
 struct StopTimer {};
-struct Say {
+struct LogMessage {
   std::string text;
 };
-using OldEffect = std::variant<StartPeer, Send, Freeze, SendState, WriteFence, KillPeer, Thaw, Leave,
-                               StartAnew, SetTimer, StopTimer, Say>;
+using OldEffect = std::variant<StartPeer, Send, Freeze, SendState, WriteFence, KillPeer, Thaw,
+                               ExitAfterHandover, RestartFromJournal, SetTimer, StopTimer, LogMessage>;
 
 class OldSide {
  public:
@@ -151,57 +153,60 @@
   std::string fingerprint() const;
 
  private:
-  void on(const UpgradeAsked&);
-  void on(const Started&);
-  void on(const Received&);
-  void on(const Spoilt&);
-  void on(const PeerDead&);
+  void on(const UpgradeRequested&);
+  void on(const PeerStarted&);
+  void on(const MessageReceived&);
+  void on(const ChannelFailed&);
+  void on(const PeerExited&);
   void on(const StateSent&);
-  void on(const Fenced&);
-  void on(const TimeDue&);
+  void on(const FenceWritten&);
+  void on(const TimerExpired&);
 
-  void give_up(const std::string& why);
+  void abort_upgrade(const std::string& why);
   void thaw();
-  void leave();
-  void start_anew();
-  void back_from_the_dead();
-  void limit(Time span) { effects_.push_back(SetTimer{now_ + span}); }
+  void exit_after_handover();
+  void restart_from_journal();
+  void recover_after_peer_exit();
+  void set_timer(Time span) { effects_.push_back(SetTimer{now_ + span}); }
 
   Versions versions_;
   Limits limits_;
   Generation generation_;
   Step step_ = Step::idle;
   bool frozen_ = false;
-  bool fenced_ = false;  // the newest fence names the peer
-  bool taken_ = false;   // and it has served
+  bool fenced_ = false;          // the newest fence names the peer
+  bool peer_took_over_ = false;  // and it has served
   // While a fence is being written, nothing else is decided.
-  bool fence_due_ = false;
-  bool peer_dead_ = false;
-  std::string trouble_;
+  bool fence_pending_ = false;
+  bool peer_exited_ = false;
+  std::string pending_abort_reason_;
   Time now_{};
   std::vector<OldEffect> effects_;
 };
 
 // --- The new side
-struct Checked {        // what `Check` or `Build` asked for
-  std::string failure;  // empty = all is well
+struct PreparationFinished {  // what `Check` or `Build` asked for
+  std::string failure;        // empty = all is well
 };
-using NewInput = std::variant<Received, Spoilt, PeerDead, Checked, Fenced, TimeDue>;
+using NewInput =
+    std::variant<MessageReceived, ChannelFailed, PeerExited, PreparationFinished, FenceWritten, TimerExpired>;
 
-struct Check {  // can this program take it over: versions are fine, its configuration has to be; answered by
-                // Checked
+struct CheckConfiguration {  // can this program take it over: versions are fine, its configuration has to be;
+                             // answered by
+                             // Checked
 };
-struct Build {  // from the whole state, touching nothing; answered by Checked
+struct BuildState {  // from the whole state, touching nothing; answered by Checked
   StateEnd end;
 };
-struct Serve {  // owner of the journal; everything may be touched from here on
+struct StartServing {  // owner of the journal; everything may be touched from here on
   Generation generation = 0;
 };
 struct Exit {  // with nothing touched
 };
 // Claims a journal whose owner has died while it was frozen, if it is as long as the state says or has one
 // fence more: WriteFence, answered by Fenced.
-using NewEffect = std::variant<Send, Check, Build, WriteFence, Serve, Exit, SetTimer, StopTimer, Say>;
+using NewEffect = std::variant<Send, CheckConfiguration, BuildState, WriteFence, StartServing, Exit, SetTimer,
+                               StopTimer, LogMessage>;
 
 class NewSide {
  public:
@@ -215,27 +220,27 @@
   std::string fingerprint() const;
 
  private:
-  void on(const Received&);
-  void on(const Spoilt&);
-  void on(const PeerDead&);
-  void on(const Checked&);
-  void on(const Fenced&);
-  void on(const TimeDue&);
+  void on(const MessageReceived&);
+  void on(const ChannelFailed&);
+  void on(const PeerExited&);
+  void on(const PreparationFinished&);
+  void on(const FenceWritten&);
+  void on(const TimerExpired&);
 
   void refuse(const std::string& why);
-  void end(const std::string& why);
-  void serve(Generation generation);
+  void abort_handover(const std::string& why);
+  void start_serving(Generation generation);
 
   Versions versions_;
   Limits limits_;
   Step step_ = Step::waiting;
   Offer offer_;
-  std::uint64_t received_ = 0;  // bytes of state
+  std::uint64_t received_bytes_ = 0;  // bytes of state
   Time now_{};
   std::vector<NewEffect> effects_;
 };
 
-const char* name_of(OldSide::Step step);
-const char* name_of(NewSide::Step step);
+const char* step_name(OldSide::Step step);
+const char* step_name(NewSide::Step step);
 
 }  // namespace fennellane::handover
--- a/src/http/answer_meaning.cpp
+++ b/src/http/answer_meaning.cpp
@@ -8,9 +8,9 @@
 
 using starlinghook::Outcome;
 
-AnswerMeaning meaning(const HttpReader& answer) {
+AnswerMeaning interpret_answer(const HttpReader& answer) {
   AnswerMeaning m;
-  constexpr std::uint64_t kMostWait = 1000ull * 60 * 60 * 24;
+  constexpr std::uint64_t kMaxRetryAfterMs = 1000ull * 60 * 60 * 24;
   switch (answer.status()) {
     case 200:
       m.outcome = Outcome::delivered;
@@ -25,8 +25,8 @@
         double ms = 0;
         const auto [end, error] = std::from_chars(wait->data(), wait->data() + wait->size(), ms);
         if (error == std::errc() && ms > 0) {
-          m.told_wait = std::chrono::milliseconds(
-              std::min(kMostWait, static_cast<std::uint64_t>(std::ceil(std::min(ms, 1e12)))));
+          m.retry_after = std::chrono::milliseconds(
+              std::min(kMaxRetryAfterMs, static_cast<std::uint64_t>(std::ceil(std::min(ms, 1e12)))));
         }
       }
       break;
@@ -39,19 +39,19 @@
       break;
     case 410:
       m.outcome = Outcome::not_sent;
-      m.over = true;
+      m.ended_elsewhere = true;
       break;
     default:  // nothing that the protocol knows: it may have run
-      m.known = false;
+      m.recognized = false;
   }
   return m;
 }
 
 namespace {
-constexpr double kMostReport = 1e9;  // calls a second
+constexpr double kMaxReportedRate = 1e9;  // calls a second
 }
 
-starlinghook::LoadReport load_report(std::string_view text, const wire::BootInfo& boot) {
+starlinghook::LoadReport parse_load_report(std::string_view text, const wire::InstanceSettings& boot) {
   starlinghook::LoadReport report;
   if (!boot.settings.reports_allowance) return report;
   const std::string& allowance = boot.report_names[static_cast<std::size_t>(boot.allowance_field)];
@@ -70,7 +70,7 @@
     const auto [end, error] = std::from_chars(number.data(), last, field);
     // Guards against half a report: one that cannot be read in every part is none.
     if (seen || error != std::errc() || end != last || !std::isfinite(field) || field < 0 ||
-        field > kMostReport) {
+        field > kMaxReportedRate) {
       return {};
     }
     seen = true;
--- a/src/http/answer_meaning.hpp
+++ b/src/http/answer_meaning.hpp
@@ -11,14 +11,14 @@
 
 struct AnswerMeaning {
   starlinghook::Outcome outcome = starlinghook::Outcome::error;
-  bool over = false;
+  bool ended_elsewhere = false;
   bool no_slot = false;
-  bool known = true;
-  Time told_wait{};
+  bool recognized = true;
+  Time retry_after{};
 };
-AnswerMeaning meaning(const HttpReader& answer);
+AnswerMeaning interpret_answer(const HttpReader& answer);
 
 // None where any part of it cannot be read.
-starlinghook::LoadReport load_report(std::string_view text, const wire::BootInfo& boot);
+starlinghook::LoadReport parse_load_report(std::string_view text, const wire::InstanceSettings& boot);
 
 }  // namespace fennellane
--- a/src/http/answer_pairing.hpp
+++ b/src/http/answer_pairing.hpp
@@ -14,33 +14,33 @@
 class AnswerPairing {
  public:
   // Whether another call may be written.
-  bool may_call() const { return state_ == State::unused || state_ == State::resting; }
+  bool can_start_call() const { return state_ == State::unused || state_ == State::idle; }
   // Whether that call has to ask for the connection's close.
-  bool must_ask_close() const { return state_ == State::resting; }
+  bool must_request_close() const { return state_ == State::idle; }
   // The call's first byte is about to be written, and nothing unread has come. Requires `may_call`.
   void begin_call(bool asks_close);
 
   // Of a whole final answer while a call is out: whether it is that call's. If so, the call is over.
-  bool is_own(bool says_close);
+  bool match_answer(bool says_close);
   // Whether whatever comes next, in whole or in part, is the call's answer.
-  bool next_is_own() const { return state_ == State::first_call; }
+  bool next_answer_matches() const { return state_ == State::first_call; }
   // How many calls have begun.
   unsigned calls() const { return calls_; }
 
   // Bytes came that no call had asked for, or the connection has ended: it carries no other call.
-  void spend() { state_ = State::spent; }
+  void mark_unusable() { state_ = State::unusable; }
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(state_, calls_, asked_close_);
+    archive(state_, calls_, requested_close_);
   }
 
  private:
-  enum class State : std::uint8_t { unused, first_call, resting, last_call, spent };
+  enum class State : std::uint8_t { unused, first_call, idle, last_call, unusable };
 
   State state_ = State::unused;
   std::uint8_t calls_ = 0;
-  bool asked_close_ = false;
+  bool requested_close_ = false;
 };
 
 }  // namespace fennellane
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -11,13 +11,13 @@
 #include <span>
 #include <utility>
 
-#include "adopted.hpp"
-#include "after.hpp"
+#include "adopt_socket.hpp"
 #include "clock.hpp"
-#include "http_memory.hpp"
+#include "http_snapshot.hpp"
 #include "names.hpp"
 #include "number.hpp"
 #include "ring_buffer.hpp"
+#include "run_after.hpp"
 #include "socket_error.hpp"
 
 namespace fennellane {
@@ -26,8 +26,8 @@
 
 namespace {
 
-constexpr std::size_t kMostAnswer = 512;  // more than the longest answer
-constexpr std::size_t kMostReason = 200;  // of a reason why the relay is not ready
+constexpr std::size_t kMaxAnswerBytes = 512;  // more than the longest answer
+constexpr std::size_t kMaxReasonBytes = 200;  // of a reason why the relay is not ready
 
 // Guards an option that has to be in force against a passing shortage. One that fails for good leaves a
 // connection that works, only less well.
@@ -37,33 +37,34 @@
   asio::error_code error;
   for (int i = 0; i < kTries; ++i) {
     socket.set_option(option, error);
-    if (sort_socket_error(error) == SocketError::none || sort_socket_error(error) == SocketError::peer)
+    if (classify_socket_error(error) == SocketError::none ||
+        classify_socket_error(error) == SocketError::peer)
       return;
   }
 }
 
-bool visible(std::string_view text) {
+bool is_visible_ascii(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
 // "dest=7", perhaps among other parts.
-std::optional<std::uint64_t> destination(std::string_view text, std::uint64_t most) {
+std::optional<std::uint64_t> parse_destination(std::string_view text, std::uint64_t most) {
   while (!text.empty()) {
     std::string_view part = text.substr(0, text.find_first_of(",;"));
     text.remove_prefix(std::min(text.size(), part.size() + 1));
     while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
     while (!part.empty() && part.back() == ' ') part.remove_suffix(1);
-    if (part.starts_with("dest=")) return whole_number(part.substr(5), most);
+    if (part.starts_with("dest=")) return parse_unsigned(part.substr(5), most);
   }
   return std::nullopt;
 }
 
 }  // namespace
 
-std::variant<Offered, unsigned> read_offer(HttpReader& request, const Config& config) {
+std::variant<MessageSubmitted, unsigned> parse_message_request(HttpReader& request, const Config& config) {
   constexpr unsigned kBad = 400, kNoPath = 404, kNoMethod = 405;
   const Limits& limits = config.limits;
-  const wire::BootInfo& boot = config.boot;
+  const wire::InstanceSettings& boot = config.boot;
   const std::string_view path = std::string_view(request.target()).substr(0, request.target().find('?'));
   const auto of_path = path.starts_with('/') ? find_position(boot.classes, path.substr(1)) : std::nullopt;
   if (!of_path) return kNoPath;
@@ -74,13 +75,14 @@
   if (!message_class || !id || !budget || !consignee) return kBad;
   if (find_position(boot.classes, *message_class) != of_path) return kBad;
   const bool keyed = boot.settings.classes.at(*of_path).effect == starlinghook::Effect::keyed;
-  if (id->empty() || id->size() > limits.id || !visible(*id) || *id == ",") return kBad;
+  if (id->empty() || id->size() > limits.max_id_size || !is_visible_ascii(*id) || *id == ",") return kBad;
   const auto key = request.header("idempotency-key");
   // Guards the partner against a message whose repeats it could not tell.
   if (keyed && !key) return kBad;
-  if (key && (key->empty() || key->size() > limits.idempotency_key || !visible(*key) || *key == ","))
+  if (key && (key->empty() || key->size() > limits.max_idempotency_key_size || !is_visible_ascii(*key) ||
+              *key == ","))
     return kBad;
-  Offered offer;
+  MessageSubmitted offer;
   if (key) offer.idempotency_key = *key;
   offer.message_class = *of_path;
   if (!boot.tenants.empty()) {
@@ -88,9 +90,9 @@
     if (!named) return kBad;
     offer.tenant = *named;
   }
-  const auto most = std::chrono::duration_cast<std::chrono::milliseconds>(limits.most_budget).count();
-  const auto ms = whole_number(*budget, static_cast<std::uint64_t>(most));
-  const auto dest = destination(*consignee, limits.most_destination);
+  const auto most = std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_budget).count();
+  const auto ms = parse_unsigned(*budget, static_cast<std::uint64_t>(most));
+  const auto dest = parse_destination(*consignee, limits.max_destination);
   if (!ms || !dest) return kBad;
   offer.time_left = std::chrono::milliseconds(*ms);
   offer.destination = static_cast<std::uint32_t>(*dest);
@@ -104,383 +106,390 @@
 // with both.
 class Downstream::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Downstream& owner, tcp::socket socket, ReplyTo number)
+  Session(Downstream& owner, tcp::socket socket, RequestHandle number)
       : owner_(owner),
         limits_(owner.config_.limits),
-        number_(number),
+        session_id_(number),
         socket_(std::move(socket)),
         timer_(owner.io_),
-        in_(limits_.read_ring),
-        out_(limits_.answer_ring),
-        request_(HttpReader::Kind::request, limits_.head, limits_.body) {}
+        in_(limits_.read_ring_size),
+        out_(limits_.answer_ring_size),
+        request_(HttpReader::Kind::request, limits_.max_head_size, limits_.max_body_size) {}
 
   void start() {
-    arm(limits_.request);
-    read();
+    arm_timer(limits_.request_timeout);
+    await_readable();
   }
 
-  Time since() const { return std::chrono::duration_cast<Time>(since_.time_since_epoch()); }
-  bool leaving() const { return lingering_; }
+  Time state_since() const { return std::chrono::duration_cast<Time>(state_since_.time_since_epoch()); }
+  bool is_lingering() const { return lingering_; }
   int descriptor() { return socket_.native_handle(); }
   template <class Archive>
-  void remember(Archive& archive) {
+  void serialize_state(Archive& archive) {
     auto expiry = timer_.expiry();
-    archive(in_, out_, since_, expiry, served_, handed_in_, ended_, closing_, lingering_, broken_);
-    request_.remember(archive);
+    archive(in_, out_, state_since_, expiry, request_received_, submitted_message_, input_ended_, closing_,
+            lingering_, write_failed_);
+    request_.serialize_state(archive);
     if (Archive::is_loading::value) timer_.expires_at(expiry);
   }
   void resume() {
     if (lingering_) {
-      await_lingered();
+      await_linger_timeout();
     } else {
-      arm_at(timer_.expiry());
+      arm_timer_at(timer_.expiry());
     }
-    process();
+    process_input();
   }
 
   // Between requests, as far as has been read.
-  bool quiet() const { return !closing_ && !request_.started() && in_.empty() && out_.empty(); }
+  bool is_between_requests() const { return !closing_ && !request_.started() && in_.empty() && out_.empty(); }
   // And none has come that has not been read yet.
-  bool idle() const { return quiet() && !unread(); }
-  bool unread() const {
+  bool is_idle() const { return is_between_requests() && !has_unread_input(); }
+  bool has_unread_input() const {
     asio::error_code ignored;
     return socket_.available(ignored) > 0;
   }
   // Tells how it stands, after anything that may have changed it.
-  void tell() {
-    admission::Places& places = owner_.places_;
-    if (lingering_) return places.closes(number_, steady_now());
-    if (closing_ || yielded_ || !out_.empty()) return places.busy(number_);
-    if (!quiet()) return places.begun(number_, steady_now());
-    if (!told_ && served_) places.rests(number_, steady_now(), handed_in_);
-    told_ = true;
+  void update_connection_table() {
+    admission::ConnectionTable& places = owner_.connection_table_;
+    if (lingering_) return places.mark_closing(session_id_, steady_now());
+    if (closing_ || yielded_ || !out_.empty()) return places.mark_busy(session_id_);
+    if (!is_between_requests()) return places.request_started(session_id_, steady_now());
+    if (!idle_reported_ && request_received_) places.mark_idle(session_id_, steady_now(), submitted_message_);
+    idle_reported_ = true;
   }
 
   // Puts the answer into the ring and as much of it on its way as goes at once, so that it leaves before what
   // the relay does next.
   void answer(unsigned status, std::string_view more_headers = {},
               AdmissionOutcome admission = AdmissionOutcome::malformed, StreamId stream = 0) {
-    owner_.record_.note(
-        record::Kind::answered, number_, static_cast<std::uint16_t>(status),
-        {static_cast<std::uint32_t>(admission), record::us32(waited_), static_cast<std::uint32_t>(stream)});
+    owner_.record_.note(record::Kind::answered, session_id_, static_cast<std::uint16_t>(status),
+                        {static_cast<std::uint32_t>(admission), record::us32(request_wait_),
+                         static_cast<std::uint32_t>(stream)});
     if (status != 200 && status != 202 && status != 503) ++owner_.counters_.malformed;
-    const bool close = closing_ || owner_.sending_away_ || !request_.done() || !request_.keep_alive();
+    const bool close = closing_ || owner_.keep_alive_disabled_ || !request_.done() || !request_.keep_alive();
     closing_ = close;
-    out_.append(answer_text(status, close, more_headers));
-    if (!writing_) write_out();
+    out_.append(format_answer(status, close, more_headers));
+    if (!writing_) write_pending();
   }
 
   // No more is written; what the client still sends is read and dropped, so that no reset overtakes the
   // answer.
-  void finish() {
+  void close_after_linger() {
     closing_ = true;
     if (lingering_) return;
     lingering_ = true;
-    since_ = std::chrono::steady_clock::now();
-    end_sending();
-    timer_.expires_after(limits_.linger);
-    await_lingered();
-    tell();
+    state_since_ = std::chrono::steady_clock::now();
+    shutdown_send();
+    timer_.expires_after(limits_.linger_timeout);
+    await_linger_timeout();
+    update_connection_table();
   }
 
   // Closes at once, so that the place is free; half a request hears why, if the answer leaves in one piece.
-  void make_way() {
+  void evict() {
     if (request_.started() && !lingering_) answer(408);
-    drop(CloseReason::made_way);
+    close(CloseReason::evicted);
   }
 
-  void drop(CloseReason how) {
+  void close(CloseReason how) {
     asio::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
-    if (owner_.sessions_.erase(number_) == 0) return;
-    owner_.places_.leave(number_);
-    owner_.record_.note(record::Kind::client, number_, static_cast<std::uint16_t>(how),
-                        {record::ms32(span_since(accepted_)), requests_, record::ms32(span_since(since_))});
+    if (owner_.sessions_.erase(session_id_) == 0) return;
+    owner_.connection_table_.remove(session_id_);
+    owner_.record_.note(record::Kind::client, session_id_, static_cast<std::uint16_t>(how),
+                        {record::ms32(elapsed_since(accepted_at_)), request_count_,
+                         record::ms32(elapsed_since(state_since_))});
   }
 
  private:
-  void end_sending() {
+  void shutdown_send() {
     asio::error_code error;
     socket_.shutdown(tcp::socket::shutdown_send, error);
-    if (sort_socket_error(error) != SocketError::local_shortage) return;
-    after_pause([](Session& self) { self.end_sending(); });
+    if (classify_socket_error(error) != SocketError::local_shortage) return;
+    retry_after_pause([](Session& self) { self.shutdown_send(); });
   }
   // For an operation that failed for want of something here.
   template <class Action>
-  void after_pause(Action action) {
+  void retry_after_pause(Action action) {
     ++owner_.counters_.local_retries;
-    after(owner_.io_, limits_.local_retry, [self = shared_from_this(), action] {
+    run_after(owner_.io_, limits_.local_retry_delay, [self = shared_from_this(), action] {
       if (self->socket_.is_open()) action(*self);
     });
   }
-  void wait_for_request() {
-    since_ = std::chrono::steady_clock::now();
-    told_ = false;
-    if (!slow_) arm(limits_.downstream_idle);
+  void await_request() {
+    state_since_ = std::chrono::steady_clock::now();
+    idle_reported_ = false;
+    if (!output_blocked_) arm_timer(limits_.downstream_idle_timeout);
   }
-  void await_lingered() {
+  void await_linger_timeout() {
     timer_.async_wait([self = shared_from_this()](asio::error_code e) {
-      if (!e) self->drop(CloseReason::finished);
+      if (!e) self->close(CloseReason::answer_sent);
     });
   }
-  void arm(Time limit) { arm_at(std::chrono::steady_clock::now() + limit); }
-  void arm_at(std::chrono::steady_clock::time_point at) {
+  void arm_timer(Time limit) { arm_timer_at(std::chrono::steady_clock::now() + limit); }
+  void arm_timer_at(std::chrono::steady_clock::time_point at) {
     timer_.expires_at(at);
     timer_.async_wait([self = shared_from_this()](asio::error_code e) {
       if (e || self->lingering_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
       // Guards against answers that nobody reads, or too slowly, holding their connection for good.
-      if (!self->closing_ && !self->out_.empty() && self->taken_ >= self->limits_.least_taken) {
-        return self->await_taken();
+      if (!self->closing_ && !self->out_.empty() &&
+          self->bytes_drained_ >= self->limits_.min_linger_progress) {
+        return self->restart_drain_timer();
       }
-      if (self->closing_ || !self->out_.empty()) return self->drop(CloseReason::unread);
-      if (self->idle()) return self->drop(self->served_ ? CloseReason::idle : CloseReason::unfinished);
+      if (self->closing_ || !self->out_.empty()) return self->close(CloseReason::answer_timeout);
+      if (self->is_idle())
+        return self->close(self->request_received_ ? CloseReason::idle_timeout
+                                                   : CloseReason::request_timeout);
       // Guards against half a request holding its connection for good.
       if (self->request_.started()) self->answer(408);
       self->flush_then_read();
-      if (!self->out_.empty()) return self->arm(self->limits_.linger);
-      self->finish();
+      if (!self->out_.empty()) return self->arm_timer(self->limits_.linger_timeout);
+      self->close_after_linger();
     });
   }
 
   // Waits first and reads then. Guards against closing as idle a connection whose request the loop has taken
   // off the socket and not yet shown: what has come is seen by idle() until it is processed.
-  void read() {
+  void await_readable() {
     if (reading_ || !socket_.is_open()) return;
     reading_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code e) {
       self->reading_ = false;
-      if (self->socket_.is_open()) self->read_now(e);
+      if (self->socket_.is_open()) self->read_available(e);
     });
   }
-  void read_now(asio::error_code error) {
+  void read_available(asio::error_code error) {
     if (owner_.reading_stopped_) return;
     std::size_t n = 0;
     if (!error) {
       const std::span<char> space = in_.space();
       n = socket_.read_some(asio::buffer(space.data(), space.size()), error);
     }
-    ended_ = error == asio::error::eof;
-    if (ended_ || !error) {
+    input_ended_ = error == asio::error::eof;
+    if (input_ended_ || !error) {
       in_.commit(n);
-      return process();
+      return process_input();
     }
-    switch (sort_socket_error(error)) {
+    switch (classify_socket_error(error)) {
       case SocketError::interrupted:
       case SocketError::not_ready:
-        return read();
+        return await_readable();
       case SocketError::local_shortage:
         reading_ = true;
-        return after_pause([](Session& self) {
+        return retry_after_pause([](Session& self) {
           self.reading_ = false;
-          self.read_now({});
+          self.read_available({});
         });
       default:
-        return drop(CloseReason::by_client);
+        return close(CloseReason::client_closed);
     }
   }
 
-  void process() {
+  void process_input() {
     if (lingering_) in_.clear();
     unsigned handled = 0;
-    while (!in_.empty() && !closing_ && !broken_ && room_to_answer()) {
+    while (!in_.empty() && !closing_ && !write_failed_ && has_answer_room()) {
       // Guards all others against one that sends many requests at once: it goes on in the loop's next turn.
-      if (handled++ == limits_.requests_a_turn) {
-        yield();
+      if (handled++ == limits_.max_requests_per_turn) {
+        yield_to_loop();
         break;
       }
       const bool fresh = !request_.started();
       const bool head = request_.head_done();
       in_.consume(request_.feed(in_.data()));
-      if (served_ && fresh && request_.started() && !request_.done()) {
-        since_ = std::chrono::steady_clock::now();
-        if (!slow_) arm(limits_.request);
+      if (request_received_ && fresh && request_.started() && !request_.done()) {
+        state_since_ = std::chrono::steady_clock::now();
+        if (!output_blocked_) arm_timer(limits_.request_timeout);
       }
       if (request_.failed()) {
-        answer(request_.refusal());
+        answer(request_.error_status());
         in_.clear();  // nothing behind it is read as a request
-        arm(limits_.linger);
+        arm_timer(limits_.linger_timeout);
         break;
       }
       if (!head && request_.head_done() && !request_.done() && request_.header("expect") == "100-continue") {
         out_.append("HTTP/1.1 100 Continue\r\n\r\n");
       }
       if (request_.done()) {
-        ++requests_;
-        waited_ = owner_.record_.on() ? waited() : Time(0);
-        handle();
+        ++request_count_;
+        request_wait_ = owner_.record_.on() ? request_wait_time() : Time(0);
+        handle_request();
         request_.reset();
-        served_ = true;
-        wait_for_request();
+        request_received_ = true;
+        await_request();
       }
     }
     flush_then_read();
   }
 
-  void yield() {
+  void yield_to_loop() {
     if (std::exchange(yielded_, true)) return;
     asio::post(owner_.io_, [self = shared_from_this()] {
       self->yielded_ = false;
-      if (self->socket_.is_open()) self->process();
+      if (self->socket_.is_open()) self->process_input();
     });
   }
 
-  void handle() {
+  void handle_request() {
     if (request_.target() == "/up") {
       if (request_.method() != "GET") return answer(405, "Allow: GET\r\n");
       if (owner_.ready_) return answer(200, "", AdmissionOutcome::other);
-      return answer(503, "X-Not-Ready: " + owner_.not_ready_ + "\r\n", AdmissionOutcome::other);
+      return answer(503, "X-Not-Ready: " + owner_.not_ready_reason_ + "\r\n", AdmissionOutcome::other);
     }
-    std::variant<Offered, unsigned> offer = read_offer(request_, owner_.config_);
+    std::variant<MessageSubmitted, unsigned> offer = parse_message_request(request_, owner_.config_);
     if (const unsigned* refused = std::get_if<unsigned>(&offer)) {
       return answer(*refused, *refused == 405 ? "Allow: POST\r\n" : "");
     }
-    auto& message = std::get<Offered>(offer);
-    owner_.record_.note(record::Kind::asked, number_, static_cast<std::uint16_t>(message.message_class),
+    auto& message = std::get<MessageSubmitted>(offer);
+    owner_.record_.note(record::Kind::asked, session_id_, static_cast<std::uint16_t>(message.message_class),
                         {message.tenant, message.destination, record::ms32(message.time_left)}, message.id);
     // Guards against taking on what its client has given up while it waited to be read: it comes again under
     // another id.
-    if (left()) {
+    if (client_disconnected()) {
       ++owner_.counters_.refused;
-      return answer(503, "", AdmissionOutcome::left);
+      return answer(503, "", AdmissionOutcome::client_gone);
     }
-    message.reply = number_;
-    handed_in_ = true;
-    owner_.on_offer_(std::move(message));
+    message.request = session_id_;
+    submitted_message_ = true;
+    owner_.on_message_(std::move(message));
   }
 
   // How long the request's last byte has waited here, also before the connection was accepted.
-  Time waited() {
+  Time request_wait_time() {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return Time(0);
     return std::chrono::milliseconds(info.tcpi_last_data_recv);
   }
-  static Time span_since(std::chrono::steady_clock::time_point then) {
+  static Time elapsed_since(std::chrono::steady_clock::time_point then) {
     return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - then);
   }
 
-  bool left() {
+  bool client_disconnected() {
     char byte = 0;
-    return ended_ || (in_.empty() && ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0);
+    return input_ended_ ||
+           (in_.empty() && ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0);
   }
 
-  bool room_to_answer() {
-    if (out_.room() < kMostAnswer && !writing_) write_out();
-    return out_.room() >= kMostAnswer;
+  bool has_answer_room() {
+    if (out_.room() < kMaxAnswerBytes && !writing_) write_pending();
+    return out_.room() >= kMaxAnswerBytes;
   }
 
   // As much as goes at once.
-  void write_out() {
+  void write_pending() {
     asio::error_code error;
     SocketError sorted = SocketError::none;
     while (!out_.empty() && (sorted == SocketError::none || sorted == SocketError::interrupted)) {
       const std::string_view data = out_.data();
       const std::size_t n = socket_.write_some(asio::buffer(data.data(), data.size()), error);
       out_.consume(n);
-      taken_ += n;
-      sorted = sort_socket_error(error);
+      bytes_drained_ += n;
+      sorted = classify_socket_error(error);
     }
-    short_ = sorted == SocketError::local_shortage;
-    if (sorted == SocketError::peer) broken_ = true;
+    local_shortage_ = sorted == SocketError::local_shortage;
+    if (sorted == SocketError::peer) write_failed_ = true;
   }
 
   void flush_then_read() {
     if (writing_ || !socket_.is_open()) return;
-    write_out();
-    if (broken_) return drop(CloseReason::by_client);
+    write_pending();
+    if (write_failed_) return close(CloseReason::client_closed);
     if (out_.empty()) {
-      if (std::exchange(slow_, false)) arm(request_.started() ? limits_.request : limits_.downstream_idle);
-      if (ended_) return drop(closing_ ? CloseReason::finished : CloseReason::by_client);
-      if (closing_ && !lingering_) finish();
-      return read_if_idle();
+      if (std::exchange(output_blocked_, false))
+        arm_timer(request_.started() ? limits_.request_timeout : limits_.downstream_idle_timeout);
+      if (input_ended_) return close(closing_ ? CloseReason::answer_sent : CloseReason::client_closed);
+      if (closing_ && !lingering_) close_after_linger();
+      return continue_reading();
     }
-    await_room();
-    if (!std::exchange(slow_, true)) await_taken();
-    tell();
+    await_writable();
+    if (!std::exchange(output_blocked_, true)) restart_drain_timer();
+    update_connection_table();
   }
   // What waits is to be taken at a least rate from now on.
-  void await_taken() {
-    taken_ = 0;
-    arm(limits_.linger);
+  void restart_drain_timer() {
+    bytes_drained_ = 0;
+    arm_timer(limits_.linger_timeout);
   }
-  void await_room() {
+  void await_writable() {
     writing_ = true;
-    if (short_) return after_pause([](Session& self) { self.write_on(); });
+    if (local_shortage_) return retry_after_pause([](Session& self) { self.resume_writing(); });
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code e) {
       if (!self->socket_.is_open()) return;
-      if (sort_socket_error(e) == SocketError::peer) return self->drop(CloseReason::by_client);
-      if (e) return self->after_pause([](Session& waiting) { waiting.write_on(); });
-      self->write_on();
+      if (classify_socket_error(e) == SocketError::peer) return self->close(CloseReason::client_closed);
+      if (e) return self->retry_after_pause([](Session& waiting) { waiting.resume_writing(); });
+      self->resume_writing();
     });
   }
-  void write_on() {
+  void resume_writing() {
     writing_ = false;
-    write_out();
+    write_pending();
     // Requests that came while the answers had no room go on now.
-    if (!in_.empty() && !closing_) return process();
+    if (!in_.empty() && !closing_) return process_input();
     flush_then_read();
   }
-  void read_if_idle() {
+  void continue_reading() {
     if (lingering_) in_.clear();
-    if (in_.empty()) read();
-    tell();
-    owner_.close_surplus();  // perhaps this one
+    if (in_.empty()) await_readable();
+    update_connection_table();
+    owner_.close_surplus_sessions();  // perhaps this one
   }
 
   Downstream& owner_;
   const Limits& limits_;
-  const ReplyTo number_;
+  const RequestHandle session_id_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   RingBuffer in_;
   RingBuffer out_;
   HttpReader request_;
-  const std::chrono::steady_clock::time_point accepted_ =
-      std::chrono::steady_clock::now();                      // by this process
-  std::chrono::steady_clock::time_point since_ = accepted_;  // it has been as it is
-  std::uint32_t requests_ = 0;
-  bool handed_in_ = false;  // a message, over this connection
-  bool told_ = false;       // that it rests, since its newest request
-  Time waited_{};           // of the newest request, where that is recorded
-  bool served_ = false;     // a whole request has come
-  std::size_t taken_ = 0;   // bytes, since the least rate was looked at last
-  bool slow_ = false;       // answers wait for the client to take them
-  bool yielded_ = false;    // requests that have been read go on in the loop's next turn
+  const std::chrono::steady_clock::time_point accepted_at_ =
+      std::chrono::steady_clock::now();                               // by this process
+  std::chrono::steady_clock::time_point state_since_ = accepted_at_;  // it has been as it is
+  std::uint32_t request_count_ = 0;
+  bool submitted_message_ = false;  // a message, over this connection
+  bool idle_reported_ = false;      // that it rests, since its newest request
+  Time request_wait_{};             // of the newest request, where that is recorded
+  bool request_received_ = false;   // a whole request has come
+  std::size_t bytes_drained_ = 0;   // bytes, since the least rate was looked at last
+  bool output_blocked_ = false;     // answers wait for the client to take them
+  bool yielded_ = false;            // requests that have been read go on in the loop's next turn
   bool reading_ = false;
   bool writing_ = false;
-  bool ended_ = false;    // the client sends no more
-  bool closing_ = false;  // nothing more is answered
+  bool input_ended_ = false;  // the client sends no more
+  bool closing_ = false;      // nothing more is answered
   bool lingering_ = false;
-  bool broken_ = false;
-  bool short_ = false;  // the newest write failed for want of something here
+  bool write_failed_ = false;
+  bool local_shortage_ = false;  // the newest write failed for want of something here
 };
 
 Downstream::Downstream(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-                       record::Recorder& record, OnOffer on_offer)
+                       record::Recorder& record, OnMessage on_offer)
     : io_(io),
       config_(config),
       counters_(counters),
       log_(log),
       record_(record),
-      on_offer_(std::move(on_offer)),
+      on_message_(std::move(on_offer)),
       acceptor_(io),
-      pause_(io),
-      places_({config.limits.downstream_connections, config.limits.asking_connections,
-               config.limits.silent_first, config.limits.newcomer}) {}
+      pause_timer_(io),
+      connection_table_({config.limits.max_downstream_connections, config.limits.max_submitting_connections,
+                         config.limits.min_eviction_silence, config.limits.min_eviction_age}) {}
 Downstream::~Downstream() = default;
 
 void Downstream::set_not_ready(std::string_view reason) {
-  not_ready_ = reason.substr(0, kMostReason);
+  not_ready_reason_ = reason.substr(0, kMaxReasonBytes);
   std::replace_if(
-      not_ready_.begin(), not_ready_.end(), [](char c) { return c < ' ' || c > '~'; }, ' ');
+      not_ready_reason_.begin(), not_ready_reason_.end(), [](char c) { return c < ' ' || c > '~'; }, ' ');
 }
 
 void Downstream::listen() {
   asio::error_code error;
   const auto ip = asio::ip::make_address(config_.listen.host, error);
   if (error) throw ConfigError("cannot listen on " + config_.listen.text() + ": " + error.message());
-  listen_at({ip, config_.listen.port}, steady_now() + config_.limits.start_wait);
+  listen_at({ip, config_.listen.port}, steady_now() + config_.limits.startup_wait);
 }
 
 bool Downstream::open_listener(const tcp::endpoint& at, asio::error_code& error) {
@@ -497,186 +506,189 @@
 
 void Downstream::listen_at(const tcp::endpoint& at, Time give_up_at) {
   asio::error_code error;
-  if (open_listener(at, error)) return accept();
+  if (open_listener(at, error)) return await_connection();
   const std::string what = "cannot listen on " + config_.listen.text() + ": " + error.message();
-  const SocketError sorted = sort_socket_error(error);
+  const SocketError sorted = classify_socket_error(error);
   if (sorted == SocketError::peer || sorted == SocketError::not_ready || steady_now() >= give_up_at) {
     throw ListenError(what);
   }
-  if (!std::exchange(said_, true)) log_("downstream", what);
-  pause_.expires_after(config_.limits.accept_backoff);
-  pause_.async_wait([this, at, give_up_at](asio::error_code e) {
+  if (!std::exchange(accept_failure_logged_, true)) log_("downstream", what);
+  pause_timer_.expires_after(config_.limits.accept_backoff);
+  pause_timer_.async_wait([this, at, give_up_at](asio::error_code e) {
     if (!e) listen_at(at, give_up_at);
   });
 }
 
-void Downstream::accept() {
+void Downstream::await_connection() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](asio::error_code error) {
     if (error == asio::error::operation_aborted) return;
     if (error) return pause_accepting();
-    accept_some();
+    accept_batch();
   });
 }
 
 // Guards those who come behind many others: one a turn is few, where each turn has much to do.
-void Downstream::accept_some() {
-  for (unsigned i = 0; i < config_.limits.accepts_a_turn; ++i) {
+void Downstream::accept_batch() {
+  for (unsigned i = 0; i < config_.limits.max_accepts_per_turn; ++i) {
     switch (accept_one()) {
-      case Accepted::one:
+      case AcceptResult::accepted:
         break;
-      case Accepted::none_waits:
-        return accept();
-      case Accepted::must_pause:
+      case AcceptResult::none_pending:
+        return await_connection();
+      case AcceptResult::must_pause:
         return pause_accepting();
     }
   }
-  accept();
+  await_connection();
 }
 
 // The next connection's, or none with the errno. Not by the library's own call, which waits for the next
 // client where one is gone before it was accepted, and the loop with it.
 FileDescriptor Downstream::accept_descriptor(int& error) {
-  if (accepted_.get() >= 0) return std::exchange(accepted_, FileDescriptor());
+  if (pending_descriptor_.get() >= 0) return std::exchange(pending_descriptor_, FileDescriptor());
   FileDescriptor fd(::accept4(acceptor_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   error = fd.get() < 0 ? errno : 0;
   return fd;
 }
 
-Downstream::Accepted Downstream::accept_one() {
+Downstream::AcceptResult Downstream::accept_one() {
   int failure = 0;
   FileDescriptor fd = accept_descriptor(failure);
-  if (is_of_one_connection(failure)) return Accepted::one;  // that one is gone, another may wait
-  if (sort_socket_error(failure) == SocketError::not_ready) return Accepted::none_waits;
+  if (affects_one_connection(failure)) return AcceptResult::accepted;  // that one is gone, another may wait
+  if (classify_socket_error(failure) == SocketError::not_ready) return AcceptResult::none_pending;
   // Guards against spinning, or ending, where no descriptor is left.
   if (failure != 0) {
-    if (!std::exchange(said_, true))
+    if (!std::exchange(accept_failure_logged_, true))
       log_("downstream", std::string("cannot accept: ") + std::strerror(failure));
-    return Accepted::must_pause;
+    return AcceptResult::must_pause;
   }
   asio::error_code error;
   tcp::socket socket(io_);
   socket.assign(config_.listen.host.find(':') == std::string::npos ? tcp::v4() : tcp::v6(), fd.get(), error);
   if (error) {
-    accepted_ = std::move(fd);
-    return Accepted::must_pause;
+    pending_descriptor_ = std::move(fd);
+    return AcceptResult::must_pause;
   }
   fd.release();
   socket.non_blocking(true, error);
-  return enter(std::move(socket));
+  return add_session(std::move(socket));
 }
 
-Downstream::Accepted Downstream::enter(tcp::socket socket) {
-  const bool room = make_room();
+Downstream::AcceptResult Downstream::add_session(tcp::socket socket) {
+  const bool room = ensure_connection_slot();
   set_option(socket, tcp::no_delay(true));
   // Guards the system's memory against clients that ask on and read nothing.
-  set_option(socket, asio::socket_base::send_buffer_size(static_cast<int>(config_.limits.answer_buffer)));
-  ++counters_.clients;
-  const auto session = std::make_shared<Session>(*this, std::move(socket), next_++);
-  sessions_.emplace(next_ - 1, session);
-  places_.enter(next_ - 1, steady_now());
+  set_option(socket,
+             asio::socket_base::send_buffer_size(static_cast<int>(config_.limits.answer_socket_buffer)));
+  ++counters_.client_connections;
+  const auto session = std::make_shared<Session>(*this, std::move(socket), next_session_id_++);
+  sessions_.emplace(next_session_id_ - 1, session);
+  connection_table_.add(next_session_id_ - 1, steady_now());
   session->start();
   if (!room) record_.note(record::Kind::no_place, 0, 0, {static_cast<std::uint32_t>(sessions_.size())});
-  return room ? Accepted::one : Accepted::must_pause;
+  return room ? AcceptResult::accepted : AcceptResult::must_pause;
 }
 
-void Downstream::close_surplus() {
-  while (const auto id = places_.surplus()) {
+void Downstream::close_surplus_sessions() {
+  while (const auto id = connection_table_.surplus_idle()) {
     const std::shared_ptr<Session> session = sessions_.at(*id);
     // Guards against closing on a request that has come and has not been read: it is read in its turn.
-    if (session->unread()) {
-      places_.busy(*id);
+    if (session->has_unread_input()) {
+      connection_table_.mark_busy(*id);
       continue;
     }
-    ++counters_.made_way;
-    session->make_way();
+    ++counters_.evicted;
+    session->evict();
   }
 }
 
 void Downstream::pause_accepting() {
-  pause_.expires_after(config_.limits.accept_backoff);
-  pause_.async_wait([this](asio::error_code error) {
+  pause_timer_.expires_after(config_.limits.accept_backoff);
+  pause_timer_.async_wait([this](asio::error_code error) {
     if (error) return;
-    if (make_room()) return accept_some();
+    if (ensure_connection_slot()) return accept_batch();
     pause_accepting();
   });
 }
 
 // Guards the descriptors, and usual clients against those that only hold places: where all are taken, the one
 // with the least claim makes way.
-bool Downstream::make_room() {
-  while (!places_.room()) {
-    const auto id = places_.least(steady_now());
+bool Downstream::ensure_connection_slot() {
+  while (!connection_table_.has_room()) {
+    const auto id = connection_table_.eviction_candidate(steady_now());
     if (!id) return false;
     const std::shared_ptr<Session> session = sessions_.at(*id);
     // Guards against closing on a request that has come and has not been read: it is read in its turn.
-    if (!session->leaving() && session->unread()) {
-      places_.busy(*id);
+    if (!session->is_lingering() && session->has_unread_input()) {
+      connection_table_.mark_busy(*id);
       continue;
     }
-    ++counters_.made_way;
-    session->make_way();
+    ++counters_.evicted;
+    session->evict();
   }
   return true;
 }
 
-void Downstream::answer(const Answer& answer) {
-  const auto it = sessions_.find(answer.reply);
+void Downstream::answer(const SendAnswer& answer) {
+  const auto it = sessions_.find(answer.request);
   if (it == sessions_.end()) return;
-  if (answer.with == Reply::taken) return it->second->answer(202, "", answer.admission, answer.stream);
-  if (answer.with == Reply::unknown) return it->second->answer(400, "", answer.admission);
-  const auto again = std::chrono::ceil<std::chrono::seconds>(answer.again).count();
+  if (answer.reply == AdmissionReply::accepted)
+    return it->second->answer(202, "", answer.admission, answer.stream);
+  if (answer.reply == AdmissionReply::unknown_destination)
+    return it->second->answer(400, "", answer.admission);
+  const auto again = std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count();
   it->second->answer(503, again > 0 ? "Retry-After: " + std::to_string(again) + "\r\n" : "",
                      answer.admission);
 }
 
-std::string Downstream::save(DescriptorsOut& descriptors) {
-  return written_memory([&](MemoryWriter& archive) {
-    archive(descriptors.add(acceptor_.native_handle()), next_, sessions_.size());
+std::string Downstream::save(OutgoingDescriptors& descriptors) {
+  return write_snapshot([&](SnapshotWriter& archive) {
+    archive(descriptors.add(acceptor_.native_handle()), next_session_id_, sessions_.size());
     for (const auto& [number, session] : sessions_) {
       archive(number, descriptors.add(session->descriptor()));
-      session->remember(archive);
+      session->serialize_state(archive);
     }
   });
 }
 
-void Downstream::load(std::string_view bytes, DescriptorsIn& descriptors) {
-  read_memory(bytes, "the clients' connections", [&](MemoryReader& archive) {
+void Downstream::load(std::string_view bytes, IncomingDescriptors& descriptors) {
+  read_snapshot(bytes, "the clients' connections", [&](SnapshotReader& archive) {
     std::uint32_t listener = 0;
     std::size_t count = 0;
-    archive(listener, next_, count);
-    adopt(acceptor_, descriptors.take(listener));
+    archive(listener, next_session_id_, count);
+    adopt_tcp_socket(acceptor_, descriptors.extract(listener));
     for (; count > 0; --count) {
-      ReplyTo number = 0;
+      RequestHandle number = 0;
       std::uint32_t position = 0;
       archive(number, position);
       tcp::socket socket(io_);
-      adopt(socket, descriptors.take(position));
+      adopt_tcp_socket(socket, descriptors.extract(position));
       const auto session = std::make_shared<Session>(*this, std::move(socket), number);
-      session->remember(archive);
+      session->serialize_state(archive);
       sessions_.emplace(number, session);
-      places_.enter(number, session->since());
+      connection_table_.add(number, session->state_since());
     }
   });
 }
 
 void Downstream::resume() {
-  accept();
+  await_connection();
   const auto sessions = sessions_;  // a copy: some may end as they go on
   for (const auto& [number, session] : sessions) session->resume();
 }
 
-void Downstream::send_away() { sending_away_ = true; }
+void Downstream::disable_keep_alive() { keep_alive_disabled_ = true; }
 
 void Downstream::stop_reading() {
   reading_stopped_ = true;
   asio::error_code ignored;
   acceptor_.close(ignored);
-  pause_.cancel();
+  pause_timer_.cancel();
 }
 
 void Downstream::close_idle() {
   for (const auto& [number, session] : sessions_) {
-    if (session->idle()) session->finish();
+    if (session->is_idle()) session->close_after_linger();
   }
 }
 
--- a/src/http/downstream.hpp
+++ b/src/http/downstream.hpp
@@ -13,18 +13,18 @@
 #include <variant>
 
 #include "config.hpp"
+#include "connection_table.hpp"
 #include "counters.hpp"
 #include "descriptor.hpp"
 #include "http.hpp"
 #include "log.hpp"
-#include "places.hpp"
 #include "recorder.hpp"
 #include "reducer.hpp"
 
 namespace fennellane {
 
 // The message that a request hands in, or the status that refuses it.
-std::variant<Offered, unsigned> read_offer(HttpReader& request, const Config& config);
+std::variant<MessageSubmitted, unsigned> parse_message_request(HttpReader& request, const Config& config);
 
 // The address cannot be had, in the time that a start waits for it.
 class ListenError : public std::runtime_error {
@@ -34,9 +34,9 @@
 
 class Downstream {
  public:
-  using OnOffer = std::function<void(Offered)>;  // answers before it returns
+  using OnMessage = std::function<void(MessageSubmitted)>;  // answers before it returns
   Downstream(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-             record::Recorder& record, OnOffer on_offer);
+             record::Recorder& record, OnMessage on_offer);
   ~Downstream();
 
   // Takes connections as soon as the address can be had. Throws ConfigError where it is none; where it stays
@@ -44,51 +44,51 @@
   void listen();
   // The listener, the connections and what has been read and not yet written on them, for another process.
   // Between two handlers only.
-  std::string save(DescriptorsOut& descriptors);
+  std::string save(OutgoingDescriptors& descriptors);
   // Instead of `listen`: goes on with those of another process, but touches none before `resume`. Throws
   // starlinghook::MemoryError, std::out_of_range or std::system_error; it is of no use then.
-  void load(std::string_view bytes, DescriptorsIn& descriptors);
+  void load(std::string_view bytes, IncomingDescriptors& descriptors);
   void resume();
 
-  void answer(const Answer& answer);
+  void answer(const SendAnswer& answer);
   void set_ready() { ready_ = true; }
   // What GET /up tells as long as the relay is not ready.
   void set_not_ready(std::string_view reason);
-  void send_away();     // answers on, but keeps no connection
-  void close_idle();    // those on which no request is being read
-  void stop_reading();  // neither requests nor connections are taken; what has been read is answered
+  void disable_keep_alive();  // answers on, but keeps no connection
+  void close_idle();          // those on which no request is being read
+  void stop_reading();        // neither requests nor connections are taken; what has been read is answered
   std::size_t connections() const { return sessions_.size(); }
 
  private:
   class Session;
   bool open_listener(const asio::ip::tcp::endpoint& at, asio::error_code& error);
   void listen_at(const asio::ip::tcp::endpoint& at, Time give_up_at);
-  void accept();
-  void accept_some();
-  enum class Accepted { one, none_waits, must_pause };
-  Accepted accept_one();
+  void await_connection();
+  void accept_batch();
+  enum class AcceptResult { accepted, none_pending, must_pause };
+  AcceptResult accept_one();
   FileDescriptor accept_descriptor(int& error);
-  Accepted enter(asio::ip::tcp::socket socket);
+  AcceptResult add_session(asio::ip::tcp::socket socket);
   void pause_accepting();
-  bool make_room();
-  void close_surplus();
+  bool ensure_connection_slot();
+  void close_surplus_sessions();
 
   asio::io_context& io_;
   const Config& config_;
   Counters& counters_;
   Log& log_;
   record::Recorder& record_;
-  OnOffer on_offer_;
+  OnMessage on_message_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer pause_;
-  FileDescriptor accepted_;  // a connection that the event loop had no room for yet
-  std::map<ReplyTo, std::shared_ptr<Session>> sessions_;
-  admission::Places places_;
-  ReplyTo next_ = 1;
+  asio::steady_timer pause_timer_;
+  FileDescriptor pending_descriptor_;  // a connection that the event loop had no room for yet
+  std::map<RequestHandle, std::shared_ptr<Session>> sessions_;
+  admission::ConnectionTable connection_table_;
+  RequestHandle next_session_id_ = 1;
   bool ready_ = false;
-  std::string not_ready_ = "starting";
-  bool said_ = false;  // that a connection cannot be accepted
-  bool sending_away_ = false;
+  std::string not_ready_reason_ = "starting";
+  bool accept_failure_logged_ = false;  // that a connection cannot be accepted
+  bool keep_alive_disabled_ = false;
   bool reading_stopped_ = false;
 };
 
--- a/src/http/client.cpp
+++ b/src/http/http_client.cpp
@@ -1,4 +1,4 @@
-#include "client.hpp"
+#include "http_client.hpp"
 
 #include <algorithm>
 #include <asio/buffer.hpp>
@@ -12,98 +12,98 @@
 
 namespace {
 
-auto into(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
+auto store_error_in(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-constexpr std::string_view kVersion = "HTTP/1.";
-constexpr std::size_t kAnswerBegins = 1024;  // bytes; holds a head and the whole of a short body
+constexpr std::string_view kHttpVersionPrefix = "HTTP/1.";
+constexpr std::size_t kMaxAnswerPrefixBytes = 1024;  // bytes; holds a head and the whole of a short body
 
-bool begin_alike(std::string_view one, std::string_view other) {
+bool one_is_prefix_of_other(std::string_view one, std::string_view other) {
   const std::size_t common = std::min(one.size(), other.size());
   return one.substr(0, common) == other.substr(0, common);
 }
 
-std::string_view without_line_ends(std::string_view text) {
+std::string_view strip_leading_line_ends(std::string_view text) {
   text.remove_prefix(std::min(text.find_first_not_of("\r\n"), text.size()));
   return text;
 }
 
 }  // namespace
 
-Client::Client(asio::io_context& io, const Address& address, const Limits& limits, std::size_t most_body,
-               std::size_t most_text)
+HttpClient::HttpClient(asio::io_context& io, const Address& address, const Limits& limits,
+                       std::size_t most_body, std::size_t most_text)
     : socket_(io),
       timer_(io),
       address_(address),
-      in_(limits.read_ring),
-      out_(std::max(most_text, limits.notice_batch) + 1024),
-      answer_(HttpReader::Kind::response, limits.head, most_body),
-      most_interim_(limits.interim_answers),
-      local_retry_(limits.local_retry),
-      stray_gap_(limits.stray_gap) {}
+      in_(limits.read_ring_size),
+      out_(std::max(most_text, limits.max_notice_batch) + 1024),
+      answer_(HttpReader::Kind::response, limits.max_head_size, most_body),
+      max_interim_answers_(limits.max_interim_answers),
+      local_retry_delay_(limits.local_retry_delay),
+      stray_log_interval_(limits.stray_log_interval) {}
 
-void Client::report_strays(std::uint64_t& counter, Log& log) {
-  strays_ = &counter;
-  stray_log_.emplace(log, "agent", stray_gap_);
+void HttpClient::enable_stray_reporting(std::uint64_t& counter, Log& log) {
+  stray_counter_ = &counter;
+  stray_log_.emplace(log, "agent", stray_log_interval_);
 }
 
-void Client::arm(Time limit) {
+void HttpClient::arm_timer(Time limit) {
   timer_.expires_after(limit);
   timer_.async_wait([this](asio::error_code error) {
     if (!error && timer_.expiry() <= std::chrono::steady_clock::now()) close();
   });
 }
 
-void Client::redirect(const Address& address) {
+void HttpClient::redirect(const Address& address) {
   address_ = address;
   close();
 }
 
-void Client::close() {
+void HttpClient::close() {
   asio::error_code ignored;
   socket_.close(ignored);
 }
 
-asio::awaitable<bool> Client::connect(Time limit) {
+asio::awaitable<bool> HttpClient::connect(Time limit) {
   close();
   in_.clear();
   out_.clear();
   answer_.reset();
-  answer_begins_.clear();
+  answer_prefix_.clear();
   pairing_ = {};
-  interim_ = 0;
+  interim_answers_ = 0;
   asio::error_code error;
   const auto ip = asio::ip::make_address(address_.host, error);
   if (error) co_return false;
-  arm(limit);
-  co_await socket_.async_connect({ip, address_.port}, into(error));
+  arm_timer(limit);
+  co_await socket_.async_connect({ip, address_.port}, store_error_in(error));
   timer_.cancel();
   if (error) close();
   if (!error) socket_.set_option(asio::ip::tcp::no_delay(true), error);
   co_return socket_.is_open();
 }
 
-void Client::note_stray() {
-  if (strays_ != nullptr) ++*strays_;
+void HttpClient::report_stray() {
+  if (stray_counter_ != nullptr) ++*stray_counter_;
   if (stray_log_) (*stray_log_)(steady_now(), address_.text() + ": bytes that answer no call");
 }
 
 // Guards against an answer that came before the call that it seems to answer.
-asio::awaitable<bool> Client::may_send(Time limit) {
+asio::awaitable<bool> HttpClient::can_send(Time limit) {
   const auto end = std::chrono::steady_clock::now() + limit;
-  while (socket_.is_open() && pairing_.may_call() && !pairing_.must_ask_close()) {
-    const UnreadInput unread = unread_input(socket_.native_handle());
-    if (unread == UnreadInput::bytes) note_stray();
+  while (socket_.is_open() && pairing_.can_start_call() && !pairing_.must_request_close()) {
+    const UnreadInput unread = peek_unread_input(socket_.native_handle());
+    if (unread == UnreadInput::bytes) report_stray();
     if (unread != UnreadInput::unknown) co_return unread == UnreadInput::none;
     if (std::chrono::steady_clock::now() > end) break;
-    timer_.expires_after(local_retry_);
+    timer_.expires_after(local_retry_delay_);
     asio::error_code cut_short;
-    co_await timer_.async_wait(into(cut_short));
+    co_await timer_.async_wait(store_error_in(cut_short));
   }
   co_return false;
 }
 
-asio::awaitable<bool> Client::send(std::string text, Time limit) {
-  const bool may = co_await may_send(limit);
+asio::awaitable<bool> HttpClient::send(std::string text, Time limit) {
+  const bool may = co_await can_send(limit);
   if (!may) {
     close();
     co_return false;
@@ -111,12 +111,12 @@
   pairing_.begin_call(false);
   answer_.reset();
   if (!out_.append(text)) co_return false;
-  arm(limit);
+  arm_timer(limit);
   while (!out_.empty()) {
     asio::error_code error;
     const std::string_view data = out_.data();
     const std::size_t n =
-        co_await socket_.async_write_some(asio::buffer(data.data(), data.size()), into(error));
+        co_await socket_.async_write_some(asio::buffer(data.data(), data.size()), store_error_in(error));
     if (error) {
       timer_.cancel();
       close();
@@ -128,13 +128,13 @@
   co_return true;
 }
 
-asio::awaitable<bool> Client::read(Time limit) {
+asio::awaitable<bool> HttpClient::read(Time limit) {
   asio::error_code error;
   if (in_.empty()) {
-    arm(limit);
+    arm_timer(limit);
     const std::span<char> space = in_.space();
     const std::size_t n =
-        co_await socket_.async_read_some(asio::buffer(space.data(), space.size()), into(error));
+        co_await socket_.async_read_some(asio::buffer(space.data(), space.size()), store_error_in(error));
     timer_.cancel();
     // Guards against bytes of the old address that had come before the connection was closed.
     if (!socket_.is_open()) co_return false;
@@ -142,53 +142,53 @@
     in_.commit(n);
   }
   do {
-    in_.consume(feed());
-  } while (pass_over_interim());
+    in_.consume(feed_answer());
+  } while (skip_interim_answer());
   const bool read = !answer_.failed() && (!error || answer_.done());
   if (!read || !answer_.done()) {
     if (!read) close();
     co_return read;
   }
-  const bool own = !is_contradicted();
-  finish();
+  const bool own = !has_conflicting_answer();
+  close_after_answer();
   co_return own;
 }
 
-std::size_t Client::feed() {
+std::size_t HttpClient::feed_answer() {
   const std::string_view bytes = in_.data();
   const std::size_t taken = answer_.feed(bytes);
-  answer_begins_ += bytes.substr(0, std::min(taken, kAnswerBegins - answer_begins_.size()));
+  answer_prefix_ += bytes.substr(0, std::min(taken, kMaxAnswerPrefixBytes - answer_prefix_.size()));
   return taken;
 }
 
-bool Client::is_contradicted() const {
+bool HttpClient::has_conflicting_answer() const {
   if (in_.empty()) return false;
-  if (answer_.holds_another_answer()) return true;
-  const std::string_view behind = without_line_ends(in_.data());
-  const bool is_answer = !behind.empty() && begin_alike(behind, kVersion);
-  return is_answer && !begin_alike(behind, without_line_ends(answer_begins_));
+  if (answer_.has_second_status_line()) return true;
+  const std::string_view behind = strip_leading_line_ends(in_.data());
+  const bool is_answer = !behind.empty() && one_is_prefix_of_other(behind, kHttpVersionPrefix);
+  return is_answer && !one_is_prefix_of_other(behind, strip_leading_line_ends(answer_prefix_));
 }
 
 // Whether the answer that has come is an interim one; what follows is looked at then.
-bool Client::pass_over_interim() {
+bool HttpClient::skip_interim_answer() {
   if (!answer_.done() || answer_.status() >= 200) return false;
-  if (interim_++ >= most_interim_) {
-    answer_.refuse();
+  if (interim_answers_++ >= max_interim_answers_) {
+    answer_.mark_failed();
     return false;
   }
   answer_.reset();
-  answer_begins_.clear();
+  answer_prefix_.clear();
   return true;
 }
 
-void Client::finish() {
-  if (!in_.empty()) note_stray();
+void HttpClient::close_after_answer() {
+  if (!in_.empty()) report_stray();
   close();
 }
 
-asio::awaitable<bool> Client::read_answer(Time limit) { return read_answer(limit, limit); }
+asio::awaitable<bool> HttpClient::read_answer(Time limit) { return read_answer(limit, limit); }
 
-asio::awaitable<bool> Client::read_answer(Time piece, Time whole) {
+asio::awaitable<bool> HttpClient::read_answer(Time piece, Time whole) {
   const auto end = std::chrono::steady_clock::now() + whole;
   while (!answer_.done()) {
     // Guards against an answer that comes byte by byte and never to its end.
--- a/src/http/client.hpp
+++ b/src/http/http_client.hpp
@@ -18,7 +18,7 @@
 #include "answer_pairing.hpp"
 #include "config.hpp"
 #include "http.hpp"
-#include "limited_log.hpp"
+#include "rate_limited_log.hpp"
 #include "ring_buffer.hpp"
 
 namespace fennellane {
@@ -29,14 +29,14 @@
   if (error) std::rethrow_exception(error);
 }
 
-class Client {
+class HttpClient {
  public:
   // `most_text`: of one request; 0 = the usual.
-  Client(asio::io_context& io, const Address& address, const Limits& limits, std::size_t most_body,
-         std::size_t most_text = 0);
+  HttpClient(asio::io_context& io, const Address& address, const Limits& limits, std::size_t most_body,
+             std::size_t most_text = 0);
 
   // Bytes that answer no call are counted there and logged, at most once in a while. Both must outlive it.
-  void report_strays(std::uint64_t& counter, Log& log);
+  void enable_stray_reporting(std::uint64_t& counter, Log& log);
 
   asio::awaitable<bool> connect(Time limit);
   // Once on each connection.
@@ -57,15 +57,15 @@
   void close();
 
  private:
-  void arm(Time limit);
-  asio::awaitable<bool> may_send(Time limit);
-  void note_stray();
-  bool pass_over_interim();
-  std::size_t feed();
+  void arm_timer(Time limit);
+  asio::awaitable<bool> can_send(Time limit);
+  void report_stray();
+  bool skip_interim_answer();
+  std::size_t feed_answer();
   // Whether another answer stands in the one that was read, or right behind it, and is no copy of it: either
   // may be the call's.
-  bool is_contradicted() const;
-  void finish();
+  bool has_conflicting_answer() const;
+  void close_after_answer();
 
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
@@ -74,13 +74,13 @@
   RingBuffer out_;
   HttpReader answer_;
   AnswerPairing pairing_;
-  const unsigned most_interim_;
-  const Time local_retry_;
-  unsigned interim_ = 0;       // answers before the call's own
-  std::string answer_begins_;  // its first bytes as they came
-  const Time stray_gap_;
-  std::uint64_t* strays_ = nullptr;
-  std::optional<LimitedLog> stray_log_;
+  const unsigned max_interim_answers_;
+  const Time local_retry_delay_;
+  unsigned interim_answers_ = 0;  // answers before the call's own
+  std::string answer_prefix_;     // its first bytes as they came
+  const Time stray_log_interval_;
+  std::uint64_t* stray_counter_ = nullptr;
+  std::optional<RateLimitedLog> stray_log_;
 };
 
 }  // namespace fennellane
--- a/src/http/http_memory.hpp
+++ b/src/http/http_snapshot.hpp
@@ -4,22 +4,22 @@
 #include <http_parser.h>
 
 #include "http.hpp"
-#include "memory.hpp"
 #include "ring_buffer.hpp"
+#include "snapshot.hpp"
 
 namespace fennellane {
 
 template <class Archive>
-void HttpReader::remember(Archive& archive) {
+void HttpReader::serialize_state(Archive& archive) {
   const auto pass = [&archive](auto value) {
     archive(value);
     return value;
   };
   // The parser's own state goes along. Guards against a library of another version that goes on with it.
-  constexpr unsigned kLibrary =
+  constexpr unsigned kParserVersion =
       HTTP_PARSER_VERSION_MAJOR * 10000 + HTTP_PARSER_VERSION_MINOR * 100 + HTTP_PARSER_VERSION_PATCH;
-  if (pass(kLibrary) != kLibrary) {
-    throw starlinghook::MemoryError("messages were being read with another version of http-parser");
+  if (pass(kParserVersion) != kParserVersion) {
+    throw starlinghook::SnapshotError("messages were being read with another version of http-parser");
   }
   parser_.type = pass(unsigned{parser_.type});
   parser_.flags = pass(unsigned{parser_.flags});
@@ -34,8 +34,9 @@
   parser_.http_errno = pass(unsigned{parser_.http_errno});
   parser_.upgrade = pass(unsigned{parser_.upgrade});
   archive(parser_.nread, parser_.content_length, parser_.http_major, parser_.http_minor);
-  archive(head_size_, first_line_, reason_, status_lines_, newest_, target_, headers_, in_value_, body_,
-          started_, head_done_, done_, keep_alive_, says_close_, refusal_);
+  archive(head_size_, first_line_, reason_phrase_, status_line_count_, tail_, target_, headers_,
+          reading_header_value_, body_, started_, head_done_, done_, keep_alive_, has_connection_close_,
+          error_status_);
 }
 
 template <class Archive>
@@ -47,7 +48,7 @@
 void load(Archive& archive, RingBuffer& ring) {
   std::string text;
   archive(text);
-  if (!ring.append(text)) throw starlinghook::MemoryError("a connection's bytes have no room");
+  if (!ring.append(text)) throw starlinghook::SnapshotError("a connection's bytes have no room");
 }
 
 }  // namespace fennellane
--- a/src/http/upstream.cpp
+++ b/src/http/upstream.cpp
@@ -4,7 +4,7 @@
 #include <asio/post.hpp>
 #include <utility>
 
-#include "http_memory.hpp"
+#include "http_snapshot.hpp"
 #include "upstream_connection.hpp"
 
 namespace fennellane {
@@ -12,156 +12,159 @@
 using starlinghook::Outcome;
 
 Upstream::Upstream(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-                   record::Recorder& record, OnEnd on_end)
+                   record::Recorder& record, OnCallEnded on_end)
     : io_(io),
       config_(config),
       counters_(counters),
-      stray_log_(log, "upstream", config.limits.stray_gap),
+      stray_log_(log, "upstream", config.limits.stray_log_interval),
       record_(record),
-      on_end_(std::move(on_end)) {}
+      on_call_ended_(std::move(on_end)) {}
 Upstream::~Upstream() = default;
 
-void Upstream::report(const CallEnded& end) { on_end_(end); }
+void Upstream::report_call_ended(const CallEnded& end) { on_call_ended_(end); }
 
 void Upstream::start(StartCall call) {
-  while (const Pointer connection = take_idle(call.host)) {
-    const UnreadInput seen = connection->look();
+  while (const ConnectionPtr connection = pop_idle(call.host)) {
+    const UnreadInput seen = connection->check_unread_input();
     // Those that are left have stood idle for longer still.
-    if (!connection->may_carry(seen) || connection->idle_for() > call.most_idle) {
-      connection->close_rested(seen);
+    if (!connection->can_reuse(seen) || connection->idle_duration() > call.max_idle) {
+      connection->close_idle(seen);
       continue;
     }
-    calls_[call.stream] = connection;
+    active_calls_[call.stream] = connection;
     return connection->reuse(std::move(call));
   }
-  if (!make_room()) {
+  if (!ensure_connection_slot()) {
     return end_unsent(call.stream, call.attempt);
   }
   const auto connection = std::make_shared<Connection>(*this, call.host);
-  calls_[call.stream] = connection;
+  active_calls_[call.stream] = connection;
   connection->connect(std::move(call));
 }
 
 void Upstream::end_unsent(StreamId stream, std::uint32_t attempt) {
-  unsent_.push_back({stream, attempt});
+  unsent_calls_.push_back({stream, attempt});
   asio::post(io_, [this] { report_unsent(); });
 }
 
 void Upstream::report_unsent() {
-  for (const auto& [stream, attempt] : std::exchange(unsent_, {})) {
-    report(CallEnded{stream, attempt, Outcome::not_sent, false, Time(0), true, {}, false, Time(0)});
+  for (const auto& [stream, attempt] : std::exchange(unsent_calls_, {})) {
+    report_call_ended(
+        CallEnded{stream, attempt, Outcome::not_sent, false, Time(0), true, {}, false, Time(0)});
   }
 }
 
 // Guards the descriptors: the connection that has been idle for longest makes way.
-bool Upstream::make_room() {
-  if (*connections_ < config_.limits.upstream_connections) return true;
+bool Upstream::ensure_connection_slot() {
+  if (*connection_count_ < config_.limits.max_upstream_connections) return true;
   Connection* oldest = nullptr;
-  for (const auto& [host, pool] : idle_) {
+  for (const auto& [host, pool] : idle_connections_) {
     if (!pool.empty() && (!oldest || pool.front()->idle_since() < oldest->idle_since())) {
       oldest = pool.front().get();
     }
   }
   if (!oldest) return false;
-  const Pointer kept = oldest->shared_from_this();
-  forget_idle(*kept);
+  const ConnectionPtr kept = oldest->shared_from_this();
+  remove_idle(*kept);
   kept->close(record::ConnectionEnd::made_way);
   return true;
 }
 
 void Upstream::cancel(const CancelCall& call) {
-  const auto it = calls_.find(call.stream);
-  if (it == calls_.end()) return;
-  it->second->give_up(call);
+  const auto it = active_calls_.find(call.stream);
+  if (it == active_calls_.end()) return;
+  it->second->cancel(call);
 }
 
-void Upstream::hold_back(const HoldBack& call) {
-  const auto it = calls_.find(call.stream);
-  if (it == calls_.end()) return;
+void Upstream::hold_back(const CancelUnsentCall& call) {
+  const auto it = active_calls_.find(call.stream);
+  if (it == active_calls_.end()) return;
   it->second->hold_back(call);
 }
 
-void Upstream::park(const Pointer& connection) {
-  idle_[connection->host()].push_back(connection);
-  connection->rest(config_.limits.upstream_idle);
+void Upstream::add_idle(const ConnectionPtr& connection) {
+  idle_connections_[connection->host()].push_back(connection);
+  connection->start_idle(config_.limits.upstream_idle_timeout);
 }
 
-Upstream::Pointer Upstream::take_idle(HostId host) {
-  const auto pool = idle_.find(host);
-  if (pool == idle_.end()) return nullptr;
-  const Pointer connection = pool->second.back();
+Upstream::ConnectionPtr Upstream::pop_idle(HostId host) {
+  const auto pool = idle_connections_.find(host);
+  if (pool == idle_connections_.end()) return nullptr;
+  const ConnectionPtr connection = pool->second.back();
   pool->second.pop_back();
-  if (pool->second.empty()) idle_.erase(pool);
+  if (pool->second.empty()) idle_connections_.erase(pool);
   return connection;
 }
 
-void Upstream::forget_idle(const Connection& connection) {
-  const auto pool = idle_.find(connection.host());
-  if (pool == idle_.end()) return;
-  std::erase_if(pool->second, [&](const Pointer& p) { return p.get() == &connection; });
-  if (pool->second.empty()) idle_.erase(pool);
+void Upstream::remove_idle(const Connection& connection) {
+  const auto pool = idle_connections_.find(connection.host());
+  if (pool == idle_connections_.end()) return;
+  std::erase_if(pool->second, [&](const ConnectionPtr& p) { return p.get() == &connection; });
+  if (pool->second.empty()) idle_connections_.erase(pool);
 }
 
-std::string Upstream::save(DescriptorsOut& descriptors) {
+std::string Upstream::save(OutgoingDescriptors& descriptors) {
   constexpr std::uint32_t kNone = UINT32_MAX;
-  return written_memory([&](MemoryWriter& archive) {
-    std::vector<Pointer> all;
-    for (const auto& [stream, connection] : calls_) all.push_back(connection);
-    for (const auto& [host, pool] : idle_) all.insert(all.end(), pool.begin(), pool.end());
-    archive(unsent_, all.size());
-    for (const Pointer& connection : all) {
+  return write_snapshot([&](SnapshotWriter& archive) {
+    std::vector<ConnectionPtr> all;
+    for (const auto& [stream, connection] : active_calls_) all.push_back(connection);
+    for (const auto& [host, pool] : idle_connections_) all.insert(all.end(), pool.begin(), pool.end());
+    archive(unsent_calls_, all.size());
+    for (const ConnectionPtr& connection : all) {
       const int fd = connection->descriptor();
       archive(connection->host(), fd < 0 ? kNone : descriptors.add(fd));
-      connection->remember(archive);
+      connection->serialize_state(archive);
     }
   });
 }
 
-void Upstream::load(std::string_view bytes, DescriptorsIn& descriptors) {
-  read_memory(bytes, "the upstream connections", [&](MemoryReader& archive) {
+void Upstream::load(std::string_view bytes, IncomingDescriptors& descriptors) {
+  read_snapshot(bytes, "the upstream connections", [&](SnapshotReader& archive) {
     std::size_t count = 0;
-    archive(unsent_, count);
+    archive(unsent_calls_, count);
     for (; count > 0; --count) {
       HostId host = 0;
       std::uint32_t position = 0;
       archive(host, position);
       const auto connection = std::make_shared<Connection>(*this, host);
-      if (position != UINT32_MAX) connection->adopt_socket(descriptors.take(position));
-      connection->remember(archive);
-      if (connection->busy()) {
-        calls_[connection->stream()] = connection;
+      if (position != UINT32_MAX) connection->adopt_socket(descriptors.extract(position));
+      connection->serialize_state(archive);
+      if (connection->has_call()) {
+        active_calls_[connection->stream()] = connection;
       } else {
-        idle_[host].push_back(connection);
+        idle_connections_[host].push_back(connection);
       }
     }
   });
 }
 
 void Upstream::resume() {
-  if (!unsent_.empty()) asio::post(io_, [this] { report_unsent(); });
-  for (const auto& [stream, connection] : calls_) connection->resume();
-  for (const auto& [host, pool] : idle_) {
-    for (const Pointer& connection : pool) connection->resume();
+  if (!unsent_calls_.empty()) asio::post(io_, [this] { report_unsent(); });
+  for (const auto& [stream, connection] : active_calls_) connection->resume();
+  for (const auto& [host, pool] : idle_connections_) {
+    for (const ConnectionPtr& connection : pool) connection->resume();
   }
 }
 
 void Upstream::close_idle(HostId host) {
-  while (const Pointer connection = take_idle(host)) connection->close(record::ConnectionEnd::made_way);
+  while (const ConnectionPtr connection = pop_idle(host)) connection->close(record::ConnectionEnd::made_way);
 }
 
 // Of a host that has not been asked yet: as the one that was asked last.
-bool Upstream::says_close(HostId host) const {
-  const auto known = says_close_.find(host);
-  return known == says_close_.end() ? last_said_close_ : known->second;
+bool Upstream::honors_close(HostId host) const {
+  const auto known = honors_close_.find(host);
+  return known == honors_close_.end() ? last_host_honors_close_ : known->second;
 }
 
 // Learnt anew from each call that asked for it.
-void Upstream::note_says_close(HostId host, bool said) { says_close_[host] = last_said_close_ = said; }
+void Upstream::set_honors_close(HostId host, bool said) {
+  honors_close_[host] = last_host_honors_close_ = said;
+}
 
 void Upstream::retire(HostId host) {
-  says_close_.erase(host);
+  honors_close_.erase(host);
   close_idle(host);
-  for (const auto& [stream, connection] : calls_) {
+  for (const auto& [stream, connection] : active_calls_) {
     if (connection->host() == host) connection->retire();
   }
 }
--- a/src/http/upstream.hpp
+++ b/src/http/upstream.hpp
@@ -12,7 +12,7 @@
 #include "counters.hpp"
 #include "descriptor.hpp"
 #include "http.hpp"
-#include "limited_log.hpp"
+#include "rate_limited_log.hpp"
 #include "recorder.hpp"
 #include "reducer.hpp"
 
@@ -20,9 +20,9 @@
 
 class Upstream {
  public:
-  using OnEnd = std::function<void(const CallEnded&)>;
+  using OnCallEnded = std::function<void(const CallEnded&)>;
   Upstream(asio::io_context& io, const Config& config, Counters& counters, Log& log, record::Recorder& record,
-           OnEnd on_end);
+           OnCallEnded on_end);
   ~Upstream();
 
   // Each call ends once, by `on_end`, and never before this returns.
@@ -30,52 +30,53 @@
   // Of a call that is not to go out: it ends as not sent, in the loop's next turn.
   void end_unsent(StreamId stream, std::uint32_t attempt);
   void cancel(const CancelCall& call);
-  void hold_back(const HoldBack& call);
+  void hold_back(const CancelUnsentCall& call);
   void close_idle(HostId host);
   // No call goes out any more on a connection that is open to the host.
   void retire(HostId host);
 
   // The calls that are out and the idle connections, with what has been written and read on them, for another
   // process. Between two handlers only.
-  std::string save(DescriptorsOut& descriptors);
+  std::string save(OutgoingDescriptors& descriptors);
   // Of one that has had no call: goes on with those of another process, but touches none before `resume`.
   // Throws starlinghook::MemoryError, std::out_of_range or std::system_error; it is of no use then.
-  void load(std::string_view bytes, DescriptorsIn& descriptors);
+  void load(std::string_view bytes, IncomingDescriptors& descriptors);
   void resume();
 
-  std::size_t calls() const { return calls_.size(); }
-  std::size_t connections() const { return *connections_; }
-  std::size_t pools() const { return idle_.size(); }
+  std::size_t active_calls() const { return active_calls_.size(); }
+  std::size_t connections() const { return *connection_count_; }
+  std::size_t idle_pools() const { return idle_connections_.size(); }
 
  private:
   class Connection;
-  using Pointer = std::shared_ptr<Connection>;
-  void park(const Pointer& connection);
-  Pointer take_idle(HostId host);
-  void forget_idle(const Connection& connection);
-  bool make_room();
+  using ConnectionPtr = std::shared_ptr<Connection>;
+  void add_idle(const ConnectionPtr& connection);
+  ConnectionPtr pop_idle(HostId host);
+  void remove_idle(const Connection& connection);
+  bool ensure_connection_slot();
   // Whether the host says `Connection: close` where it is asked for the close. Only then a connection to it
   // is used again, since its answers could not be told apart.
-  bool says_close(HostId host) const;
-  void note_says_close(HostId host, bool said);
+  bool honors_close(HostId host) const;
+  void set_honors_close(HostId host, bool said);
   void report_unsent();
-  void report(const CallEnded& end);
+  void report_call_ended(const CallEnded& end);
 
   asio::io_context& io_;
   const Config& config_;
   Counters& counters_;
-  LimitedLog stray_log_;
+  RateLimitedLog stray_log_;
   record::Recorder& record_;
-  std::uint32_t last_connection_ = 0;  // numbers them in the record
-  OnEnd on_end_;
-  std::unordered_map<StreamId, Pointer> calls_;  // out now
-  std::unordered_map<HostId, bool> says_close_;  // of those that were asked
-  bool last_said_close_ = false;
-  std::map<HostId, std::vector<Pointer>> idle_;  // the most recently used last; none is empty
+  std::uint32_t last_connection_number_ = 0;  // numbers them in the record
+  OnCallEnded on_call_ended_;
+  std::unordered_map<StreamId, ConnectionPtr> active_calls_;  // out now
+  std::unordered_map<HostId, bool> honors_close_;             // of those that were asked
+  bool last_host_honors_close_ = false;
+  std::map<HostId, std::vector<ConnectionPtr>>
+      idle_connections_;  // the most recently used last; none is empty
   // Calls that do not go out, with their attempts; they end in the loop's next turn.
-  std::vector<std::pair<StreamId, std::uint32_t>> unsent_;
+  std::vector<std::pair<StreamId, std::uint32_t>> unsent_calls_;
   // Counted by the connections themselves, of which the loop may hold some for longer than the pool lives.
-  std::shared_ptr<std::size_t> connections_ = std::make_shared<std::size_t>(0);
+  std::shared_ptr<std::size_t> connection_count_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace fennellane
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -9,7 +9,7 @@
 #include <span>
 #include <utility>
 
-#include "adopted.hpp"
+#include "adopt_socket.hpp"
 #include "socket_error.hpp"
 
 namespace fennellane {
@@ -19,62 +19,65 @@
 
 Upstream::Connection::Connection(Upstream& pool, HostId host)
     : pool_(pool),
-      count_(pool.connections_),
+      connection_count_(pool.connection_count_),
       host_(host),
-      number_(++pool.last_connection_),
-      opened_(steady_now()),
+      connection_number_(++pool.last_connection_number_),
+      opened_at_(steady_now()),
       socket_(pool.io_),
       timer_(pool.io_),
-      in_(pool.config_.limits.read_ring),
-      out_(pool.config_.limits.call_ring),
-      answer_(HttpReader::Kind::response, pool.config_.limits.head, pool.config_.limits.body) {
-  ++*count_;
+      in_(pool.config_.limits.read_ring_size),
+      out_(pool.config_.limits.call_ring_size),
+      answer_(HttpReader::Kind::response, pool.config_.limits.max_head_size,
+              pool.config_.limits.max_body_size) {
+  ++*connection_count_;
 }
 
 void Upstream::Connection::connect(StartCall call) {
-  take(std::move(call));
+  set_call(std::move(call));
   ++pool_.counters_.connects;
-  arm(std::min({pool_.config_.limits.connect, call_.timeout, call_.begin_within}));
-  begin_connecting();
+  arm_timer(std::min({pool_.config_.limits.connect_timeout, call_.timeout, call_.begin_within}));
+  begin_connect();
 }
 
-void Upstream::Connection::adopt_socket(FileDescriptor fd) { adopt(socket_, std::move(fd)); }
+void Upstream::Connection::adopt_socket(FileDescriptor fd) { adopt_tcp_socket(socket_, std::move(fd)); }
 
 void Upstream::Connection::resume() {
-  if (!busy_) {
-    await_rested();
-    return read();
+  if (!has_call_) {
+    await_idle_timeout();
+    return await_readable();
   }
-  if (due_ != Due::nothing) asio::post(pool_.io_, [self = shared_from_this()] { self->end_due(); });
-  if (due_ != Due::nothing && !socket_.is_open()) return;
-  arm_at(timer_.expiry());
-  if (!socket_.is_open()) return begin_connecting();
-  if (!up_) return await_connected();
-  if (!out_.empty()) await_room();
-  read();
+  if (pending_end_ != PendingEnd::none)
+    asio::post(pool_.io_, [self = shared_from_this()] { self->end_pending_call(); });
+  if (pending_end_ != PendingEnd::none && !socket_.is_open()) return;
+  arm_timer_at(timer_.expiry());
+  if (!socket_.is_open()) return begin_connect();
+  if (!connected_) return await_connected();
+  if (!out_.empty()) await_writable();
+  await_readable();
 }
 
 void Upstream::Connection::reuse(StartCall call) {
-  take(std::move(call));
-  idle_ = std::max(Time(1), steady_now() - idle_since_);
+  set_call(std::move(call));
+  idle_before_call_ = std::max(Time(1), steady_now() - idle_since_);
   ++pool_.counters_.reused;
-  arm_at(deadline_);
-  write();
+  arm_timer_at(deadline_);
+  write_pending();
 }
 
-UnreadInput Upstream::Connection::look() {
-  const UnreadInput unread = unread_input(socket_.native_handle());
-  if (unread == UnreadInput::bytes) note_stray(record::StrayPlace::resting);
+UnreadInput Upstream::Connection::check_unread_input() {
+  const UnreadInput unread = peek_unread_input(socket_.native_handle());
+  if (unread == UnreadInput::bytes) report_stray(record::StrayPlace::resting);
   return unread;
 }
 
-void Upstream::Connection::give_up(const CancelCall& c) {
-  if (busy_ && call_.stream == c.stream && call_.attempt == c.attempt) later(Due::cancelled);
+void Upstream::Connection::cancel(const CancelCall& c) {
+  if (has_call_ && call_.stream == c.stream && call_.attempt == c.attempt)
+    schedule_end(PendingEnd::cancelled);
 }
 
-void Upstream::Connection::hold_back(const HoldBack& c) {
-  if (!busy_ || started_ || call_.stream != c.stream || call_.attempt != c.attempt) return;
-  later(Due::held_back);
+void Upstream::Connection::hold_back(const CancelUnsentCall& c) {
+  if (!has_call_ || call_started_ || call_.stream != c.stream || call_.attempt != c.attempt) return;
+  schedule_end(PendingEnd::held_back);
 }
 
 void Upstream::Connection::close(record::ConnectionEnd why) {
@@ -82,47 +85,47 @@
   asio::error_code ignored;
   timer_.cancel();
   socket_.close(ignored);
-  pool_.record_.note(record::Kind::host_connection, number_, static_cast<std::uint16_t>(why),
-                     {pairing_.calls(), record::ms32(steady_now() - opened_)}, address_);
+  pool_.record_.note(record::Kind::host_connection, connection_number_, static_cast<std::uint16_t>(why),
+                     {pairing_.calls(), record::ms32(steady_now() - opened_at_)}, address_);
 }
 
-void Upstream::Connection::close_rested(UnreadInput seen) {
+void Upstream::Connection::close_idle(UnreadInput seen) {
   close(seen == UnreadInput::bytes ? record::ConnectionEnd::stray
         : seen == UnreadInput::end ? record::ConnectionEnd::by_host
                                    : record::ConnectionEnd::idle);
 }
 
-void Upstream::Connection::rest(Time idle) {
+void Upstream::Connection::start_idle(Time idle) {
   idle_since_ = steady_now();
   timer_.expires_after(idle);
-  await_rested();
+  await_idle_timeout();
 }
 
-void Upstream::Connection::await_rested() {
+void Upstream::Connection::await_idle_timeout() {
   timer_.async_wait([self = shared_from_this()](asio::error_code e) {
-    if (e || self->busy_ || !self->socket_.is_open()) return;
-    self->pool_.forget_idle(*self);
+    if (e || self->has_call_ || !self->socket_.is_open()) return;
+    self->pool_.remove_idle(*self);
     self->close(record::ConnectionEnd::idle);
   });
 }
 
-void Upstream::Connection::take(StartCall call) {
+void Upstream::Connection::set_call(StartCall call) {
   call_ = std::move(call);
   address_ = call_.address.text();
-  busy_ = true;
-  started_ = written_ = answering_ = short_ = false;
-  due_ = Due::nothing;
-  passed_over_ = 0;
-  own_ = connected_again_ = false;
-  asks_close_ = pairing_.must_ask_close() || !pool_.says_close(host_);
+  has_call_ = true;
+  call_started_ = call_written_ = answer_started_ = local_shortage_ = false;
+  pending_end_ = PendingEnd::none;
+  skipped_answers_ = 0;
+  answer_matched_ = reconnected_ = false;
+  requests_close_ = pairing_.must_request_close() || !pool_.honors_close(host_);
   answer_.reset();
   out_.clear();
   deadline_ = std::chrono::steady_clock::now() + std::max(call_.timeout, Time(1000));
-  begin_by_ = call_.begin_within == Time::max() ? Time::max() : steady_now() + call_.begin_within;
+  start_deadline_ = call_.begin_within == Time::max() ? Time::max() : steady_now() + call_.begin_within;
   const auto budget = std::max<Time::rep>(1, call_.timeout.count() / 1000);
   const std::string key_line =
       call_.idempotency_key.empty() ? "" : "\r\nIdempotency-Key: " + call_.idempotency_key;
-  const std::string close_line = asks_close_ ? "\r\nConnection: close" : "";
+  const std::string close_line = requests_close_ ? "\r\nConnection: close" : "";
   std::string head = "POST /hook HTTP/1.1\r\nHost: " + call_.address.text() + "\r\nX-Call-Id: " + call_.id +
                      key_line + close_line + "\r\nX-Budget-Ms: " + std::to_string(budget) +
                      "\r\nContent-Length: " + std::to_string(call_.body->size()) + "\r\n\r\n";
@@ -130,38 +133,38 @@
   out_.append(*call_.body);
 }
 
-void Upstream::Connection::arm_at(asio::steady_timer::time_point at) {
+void Upstream::Connection::arm_timer_at(asio::steady_timer::time_point at) {
   timer_.expires_at(at);
   timer_.async_wait([self = shared_from_this()](asio::error_code e) {
-    if (e || !self->busy_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
-    if (self->answering_) return self->spoilt();
-    if (self->short_) return self->end_short();
-    self->end(self->written_ ? Outcome::timeout : Outcome::connect_failed);
+    if (e || !self->has_call_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
+    if (self->answer_started_) return self->end_unreadable();
+    if (self->local_shortage_) return self->end_local_shortage();
+    self->end_call(self->call_written_ ? Outcome::timeout : Outcome::connect_failed);
   });
 }
 
-void Upstream::Connection::later(Due due) {
-  if (due_ != Due::nothing) return;
-  due_ = due;
-  asio::post(pool_.io_, [self = shared_from_this()] { self->end_due(); });
+void Upstream::Connection::schedule_end(PendingEnd due) {
+  if (pending_end_ != PendingEnd::none) return;
+  pending_end_ = due;
+  asio::post(pool_.io_, [self = shared_from_this()] { self->end_pending_call(); });
 }
 
-void Upstream::Connection::end_due() {
-  switch (std::exchange(due_, Due::nothing)) {
-    case Due::nothing:
+void Upstream::Connection::end_pending_call() {
+  switch (std::exchange(pending_end_, PendingEnd::none)) {
+    case PendingEnd::none:
       return;
-    case Due::connect_failed:
-      return end(Outcome::connect_failed);
-    case Due::broken:
-      return busy_ ? broken() : void();
-    case Due::held_back:
-      return end(Outcome::not_sent);
-    case Due::cancelled:
-      return end(Outcome::cancelled);
+    case PendingEnd::connect_failed:
+      return end_call(Outcome::connect_failed);
+    case PendingEnd::connection_lost:
+      return has_call_ ? end_connection_lost() : void();
+    case PendingEnd::held_back:
+      return end_call(Outcome::not_sent);
+    case PendingEnd::cancelled:
+      return end_call(Outcome::cancelled);
   }
 }
 
-int Upstream::Connection::connect_now() {
+int Upstream::Connection::issue_connect() {
   asio::error_code error;
   const auto ip = asio::ip::make_address(call_.address.host, error);
   if (error) return EINVAL;
@@ -173,104 +176,105 @@
   return result == 0 || errno == EINPROGRESS || errno == EINTR ? 0 : errno;  // it goes on by itself
 }
 
-void Upstream::Connection::begin_connecting() {
-  const int error = connect_now();
+void Upstream::Connection::begin_connect() {
+  const int error = issue_connect();
   // Guards the host against being taken for failing where this machine was short of something. EAGAIN: of
   // ports.
-  if (sort_socket_error(error) == SocketError::local_shortage || error == EAGAIN) return connect_again();
-  if (error != 0) return later(Due::connect_failed);
-  short_ = false;
+  if (classify_socket_error(error) == SocketError::local_shortage || error == EAGAIN) return retry_connect();
+  if (error != 0) return schedule_end(PendingEnd::connect_failed);
+  local_shortage_ = false;
   await_connected();
 }
 
-void Upstream::Connection::connect_again() {
-  short_ = true;
+void Upstream::Connection::retry_connect() {
+  local_shortage_ = true;
   asio::error_code ignored;
   socket_.close(ignored);
-  after_pause([](Connection& self) { self.begin_connecting(); });
+  retry_after_pause([](Connection& self) { self.begin_connect(); });
 }
 
 void Upstream::Connection::await_connected() {
   socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code e) {
-    if (!self->socket_.is_open() || !self->busy_ || self->due_ != Due::nothing) return;  // given up
-    self->look_whether_connected(e);
+    if (!self->socket_.is_open() || !self->has_call_ || self->pending_end_ != PendingEnd::none)
+      return;  // given up
+    self->check_connected(e);
   });
 }
 
-void Upstream::Connection::look_whether_connected(asio::error_code error) {
+void Upstream::Connection::check_connected(asio::error_code error) {
   int failure = error.value();
   socklen_t size = sizeof failure;
   if (!error && ::getsockopt(socket_.native_handle(), SOL_SOCKET, SO_ERROR, &failure, &size) != 0) {
     failure = errno;
   }
-  if (sort_socket_error(failure) == SocketError::local_shortage) return connect_again();
-  if (failure != 0) return end(Outcome::connect_failed);
+  if (classify_socket_error(failure) == SocketError::local_shortage) return retry_connect();
+  if (failure != 0) return end_call(Outcome::connect_failed);
   // Guards the window in which repeats are dropped against a connection that comes up behind its end.
-  if (steady_now() > begin_by_) return end(Outcome::connect_failed);
-  up_ = true;
+  if (steady_now() > start_deadline_) return end_call(Outcome::connect_failed);
+  connected_ = true;
   socket_.set_option(tcp::no_delay(true), error);
-  arm_at(deadline_);
+  arm_timer_at(deadline_);
   begin_call();
 }
 
 void Upstream::Connection::begin_call() {
-  const UnreadInput unread = unread_input(socket_.native_handle());
+  const UnreadInput unread = peek_unread_input(socket_.native_handle());
   if (unread == UnreadInput::unknown) {
-    return after_pause([](Connection& self) { self.begin_call(); });
+    return retry_after_pause([](Connection& self) { self.begin_call(); });
   }
   if (unread == UnreadInput::bytes) {
-    note_stray(record::StrayPlace::before_first_call);
-    if (!std::exchange(connected_again_, true)) return connect_again();  // the call has not begun
+    report_stray(record::StrayPlace::before_first_call);
+    if (!std::exchange(reconnected_, true)) return retry_connect();  // the call has not begun
   }
-  if (unread != UnreadInput::none) return end(Outcome::connect_failed, true);
-  write();
-  read();
+  if (unread != UnreadInput::none) return end_call(Outcome::connect_failed, true);
+  write_pending();
+  await_readable();
 }
 
-void Upstream::Connection::write() {
-  if (!std::exchange(started_, true)) {
-    pairing_.begin_call(asks_close_);
+void Upstream::Connection::write_pending() {
+  if (!std::exchange(call_started_, true)) {
+    pairing_.begin_call(requests_close_);
     pool_.record_.note(record::Kind::carried, call_.stream, static_cast<std::uint16_t>(pairing_.calls()),
-                       {number_, asks_close_ ? 1u : 0u});
+                       {connection_number_, requests_close_ ? 1u : 0u});
   }
   asio::error_code error;
   SocketError sorted = SocketError::none;
   while (!out_.empty() && (sorted == SocketError::none || sorted == SocketError::interrupted)) {
     const std::string_view data = out_.data();
     out_.consume(socket_.write_some(asio::buffer(data.data(), data.size()), error));
-    sorted = sort_socket_error(error);
+    sorted = classify_socket_error(error);
   }
-  written_ = out_.empty();
-  if (written_) return;
-  if (sorted == SocketError::local_shortage) return write_again();
-  if (sorted == SocketError::peer) return later(Due::broken);
-  await_room();
+  call_written_ = out_.empty();
+  if (call_written_) return;
+  if (sorted == SocketError::local_shortage) return retry_write();
+  if (sorted == SocketError::peer) return schedule_end(PendingEnd::connection_lost);
+  await_writable();
 }
 
-void Upstream::Connection::write_again() {
-  after_pause([](Connection& self) {
-    if (self.socket_.is_open()) self.write();
+void Upstream::Connection::retry_write() {
+  retry_after_pause([](Connection& self) {
+    if (self.socket_.is_open()) self.write_pending();
   });
 }
 
-void Upstream::Connection::await_room() {
+void Upstream::Connection::await_writable() {
   socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code e) {
-    if (!self->busy_ || !self->socket_.is_open()) return;
-    if (sort_socket_error(e) == SocketError::peer) return self->broken();
-    if (e) return self->write_again();
-    self->write();
+    if (!self->has_call_ || !self->socket_.is_open()) return;
+    if (classify_socket_error(e) == SocketError::peer) return self->end_connection_lost();
+    if (e) return self->retry_write();
+    self->write_pending();
   });
 }
 
-void Upstream::Connection::read() {
+void Upstream::Connection::await_readable() {
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code e) {
     if (!self->socket_.is_open()) return;
-    if (!self->busy_) return self->drop_idle();
-    self->read_now(e);
+    if (!self->has_call_) return self->on_idle_input();
+    self->read_available(e);
   });
 }
 
-void Upstream::Connection::read_now(asio::error_code error) {
+void Upstream::Connection::read_available(asio::error_code error) {
   std::size_t n = 0;
   if (!error) {
     const std::span<char> space = in_.space();
@@ -278,150 +282,161 @@
   }
   if (!error || error == asio::error::eof) {
     in_.commit(n);
-    return heard(error == asio::error::eof);
+    return process_input(error == asio::error::eof);
   }
-  switch (sort_socket_error(error)) {
+  switch (classify_socket_error(error)) {
     case SocketError::interrupted:
     case SocketError::not_ready:
-      return read();
+      return await_readable();
     case SocketError::local_shortage:
-      return after_pause([](Connection& self) {
-        if (self.socket_.is_open()) self.read_now({});
+      return retry_after_pause([](Connection& self) {
+        if (self.socket_.is_open()) self.read_available({});
       });
     default:
-      return broken();
+      return end_connection_lost();
   }
 }
 
-void Upstream::Connection::drop_idle() {
-  const UnreadInput seen = look();
-  pairing_.spend();
-  pool_.forget_idle(*this);
-  close_rested(seen);
+void Upstream::Connection::on_idle_input() {
+  const UnreadInput seen = check_unread_input();
+  pairing_.mark_unusable();
+  pool_.remove_idle(*this);
+  close_idle(seen);
 }
 
-void Upstream::Connection::note_stray(record::StrayPlace place, unsigned status) {
+void Upstream::Connection::report_stray(record::StrayPlace place, unsigned status) {
   ++pool_.counters_.strays;
-  pool_.record_.note(record::Kind::stray, busy_ ? call_.stream : 0, static_cast<std::uint16_t>(status),
-                     {number_, static_cast<std::uint32_t>(place)}, address_);
+  pool_.record_.note(record::Kind::stray, has_call_ ? call_.stream : 0, static_cast<std::uint16_t>(status),
+                     {connection_number_, static_cast<std::uint32_t>(place)}, address_);
   pool_.stray_log_(steady_now(), address_ + ": bytes that answer no call");
 }
 
-void Upstream::Connection::heard(bool ended) {
+void Upstream::Connection::process_input(bool ended) {
   // Guards against an answer that begins and does not end: it has a short time of its own.
-  if (!answering_ && !in_.empty()) {
-    answering_ = true;
-    arm_at(std::min(deadline_, std::chrono::steady_clock::now() + pool_.config_.limits.answer_rest));
+  if (!answer_started_ && !in_.empty()) {
+    answer_started_ = true;
+    arm_timer_at(std::min(deadline_, std::chrono::steady_clock::now() + pool_.config_.limits.answer_timeout));
   }
   while (!in_.empty() && !answer_.done() && !answer_.failed()) {
     in_.consume(answer_.feed(in_.data()));
-    if (answer_.done() && !is_own_answer()) pass_over();
+    if (answer_.done() && !matches_call()) skip_answer();
   }
   if (ended) answer_.end_of_input();
-  if (ended && answer_.done() && !is_own_answer()) pass_over();
-  if (answer_.failed()) return spoilt();
-  if (answer_.done()) return answered(!ended);
-  if (ended) return broken();
-  read();
+  if (ended && answer_.done() && !matches_call()) skip_answer();
+  if (answer_.failed()) return end_unreadable();
+  if (answer_.done()) return end_answered(!ended);
+  if (ended) return end_connection_lost();
+  await_readable();
 }
 
-bool Upstream::Connection::is_own_answer() {
-  if (own_) return true;
-  own_ = !interim() && pairing_.is_own(answer_.says_close());
-  return own_;
+bool Upstream::Connection::matches_call() {
+  if (answer_matched_) return true;
+  answer_matched_ = !is_interim() && pairing_.match_answer(answer_.has_connection_close());
+  return answer_matched_;
 }
 
-void Upstream::Connection::pass_over() {
-  if (!interim()) note_stray(record::StrayPlace::during_call, answer_.status());
-  if (passed_over_++ >= pool_.config_.limits.interim_answers) return answer_.refuse();
+void Upstream::Connection::skip_answer() {
+  if (!is_interim()) report_stray(record::StrayPlace::during_call, answer_.status());
+  if (skipped_answers_++ >= pool_.config_.limits.max_interim_answers) return answer_.mark_failed();
   answer_.reset();
-  answering_ = !in_.empty();
-  if (!answering_) arm_at(deadline_);
+  answer_started_ = !in_.empty();
+  if (!answer_started_) arm_timer_at(deadline_);
 }
 
-bool Upstream::Connection::begins_as_delivered() const {
-  const bool own = pairing_.next_is_own() || (answer_.head_done() && answer_.says_close());
-  return written_ && own && answer_.first_line_says(200) && !answer_.holds_another_answer();
+bool Upstream::Connection::partial_answer_is_delivered() const {
+  const bool own = pairing_.next_answer_matches() || (answer_.head_done() && answer_.has_connection_close());
+  return call_written_ && own && answer_.first_line_has_status(200) && !answer_.has_second_status_line();
 }
 
-void Upstream::Connection::spoilt() {
-  ++pool_.counters_.spoilt;
-  if (begins_as_delivered()) return end(Outcome::delivered);
-  end(written_ ? Outcome::error : Outcome::connect_failed);
+void Upstream::Connection::end_unreadable() {
+  ++pool_.counters_.unreadable_answers;
+  if (partial_answer_is_delivered()) return end_call(Outcome::delivered);
+  end_call(call_written_ ? Outcome::error : Outcome::connect_failed);
 }
 
-void Upstream::Connection::broken() {
-  if (begins_as_delivered()) return end(Outcome::delivered);
-  if (passed_over_ > 0) note_says_close(false);
-  end(written_ ? Outcome::reset : Outcome::connect_failed, up_);
+void Upstream::Connection::end_connection_lost() {
+  if (partial_answer_is_delivered()) return end_call(Outcome::delivered);
+  if (skipped_answers_ > 0) record_close_behavior(false);
+  end_call(call_written_ ? Outcome::reset : Outcome::connect_failed, connected_);
 }
 
-void Upstream::Connection::note_says_close(bool says) {
-  if (asks_close_ && !retired_) pool_.note_says_close(host_, says);
+void Upstream::Connection::record_close_behavior(bool says) {
+  if (requests_close_ && !retired_) pool_.set_honors_close(host_, says);
 }
 
-bool Upstream::Connection::is_contradicted(const AnswerMeaning& read) const {
-  if (in_.empty() || answer_.says_close()) return false;
-  if (answer_.holds_another_answer()) return true;
-  HttpReader behind(HttpReader::Kind::response, pool_.config_.limits.head, pool_.config_.limits.body);
+bool Upstream::Connection::has_conflicting_answer(const AnswerMeaning& read) const {
+  if (in_.empty() || answer_.has_connection_close()) return false;
+  if (answer_.has_second_status_line()) return true;
+  HttpReader behind(HttpReader::Kind::response, pool_.config_.limits.max_head_size,
+                    pool_.config_.limits.max_body_size);
   behind.feed(in_.data());
-  return behind.head_done() && !behind.failed() && meaning(behind).outcome != read.outcome;
-}
-
-void Upstream::Connection::answered(bool open) {
-  note_says_close(answer_.says_close());
-  if (!in_.empty()) note_stray(record::StrayPlace::behind_answer);
-  AnswerMeaning m = meaning(answer_);
-  if (!m.known) ++pool_.counters_.spoilt;
-  const bool too_early = !written_ && m.outcome == Outcome::delivered;
-  if (too_early || is_contradicted(m)) m = AnswerMeaning{};  // it may have run
-  const bool keep =
-      open && m.known && written_ && in_.empty() && pairing_.may_call() && answer_.keep_alive() && !retired_;
-  CallEnded ended{call_.stream, call_.attempt, m.outcome, m.over, m.told_wait, m.no_slot, {}, false, idle_};
+  return behind.head_done() && !behind.failed() && interpret_answer(behind).outcome != read.outcome;
+}
+
+void Upstream::Connection::end_answered(bool open) {
+  record_close_behavior(answer_.has_connection_close());
+  if (!in_.empty()) report_stray(record::StrayPlace::behind_answer);
+  AnswerMeaning m = interpret_answer(answer_);
+  if (!m.recognized) ++pool_.counters_.unreadable_answers;
+  const bool too_early = !call_written_ && m.outcome == Outcome::delivered;
+  if (too_early || has_conflicting_answer(m)) m = AnswerMeaning{};  // it may have run
+  const bool keep = open && m.recognized && call_written_ && in_.empty() && pairing_.can_start_call() &&
+                    answer_.keep_alive() && !retired_;
+  CallEnded ended{call_.stream, call_.attempt, m.outcome,        m.ended_elsewhere, m.retry_after, m.no_slot,
+                  {},           false,         idle_before_call_};
   if (const auto text = answer_.header("x-load-report"))
-    ended.report = load_report(*text, pool_.config_.boot);
+    ended.report = parse_load_report(*text, pool_.config_.boot);
   // Guards against a host's limit on connections being taken for one on calls: it closes at once what it
   // has no place for, and nobody's load is in that answer.
   ended.connection_only =
-      m.outcome == Outcome::full && !asks_close_ && !answer_.keep_alive() && !ended.report.present;
+      m.outcome == Outcome::full && !requests_close_ && !answer_.keep_alive() && !ended.report.present;
   ended.connection_closed = !keep;
-  ended.close_requested = asks_close_;
+  ended.close_requested = requests_close_;
   if (keep) {
-    release();
-    pool_.park(shared_from_this());
-    read();
+    release_call();
+    pool_.add_idle(shared_from_this());
+    await_readable();
   }
-  finish(ended, keep);
+  finish_call(ended, keep);
 }
 
-void Upstream::Connection::end_short() {
-  finish(CallEnded{call_.stream, call_.attempt, Outcome::not_sent, false, Time(0), true, {}, false, Time(0)},
-         false);
+void Upstream::Connection::end_local_shortage() {
+  finish_call(
+      CallEnded{call_.stream, call_.attempt, Outcome::not_sent, false, Time(0), true, {}, false, Time(0)},
+      false);
 }
 
-void Upstream::Connection::end(Outcome outcome, bool connection_only) {
-  if (!busy_) return;
-  finish(CallEnded{call_.stream, call_.attempt, outcome, false, Time(0), false, {}, connection_only, idle_},
-         false);
+void Upstream::Connection::end_call(Outcome outcome, bool connection_only) {
+  if (!has_call_) return;
+  finish_call(CallEnded{call_.stream,
+                        call_.attempt,
+                        outcome,
+                        false,
+                        Time(0),
+                        false,
+                        {},
+                        connection_only,
+                        idle_before_call_},
+              false);
 }
 
-void Upstream::Connection::release() {
-  busy_ = false;
+void Upstream::Connection::release_call() {
+  has_call_ = false;
   timer_.cancel();
-  pool_.calls_.erase(call_.stream);
+  pool_.active_calls_.erase(call_.stream);
   call_.body.reset();
   answer_.take_body();
 }
 
-void Upstream::Connection::finish(const CallEnded& ended, bool kept) {
+void Upstream::Connection::finish_call(const CallEnded& ended, bool kept) {
   if (!kept) {
-    release();
+    release_call();
     // Before the next attempt can start.
-    close(in_.empty() && own_ ? record::ConnectionEnd::last_answer
-          : own_              ? record::ConnectionEnd::stray
-                              : record::ConnectionEnd::call_failed);
+    close(in_.empty() && answer_matched_ ? record::ConnectionEnd::last_answer
+          : answer_matched_              ? record::ConnectionEnd::stray
+                                         : record::ConnectionEnd::call_failed);
   }
-  pool_.report(ended);
+  pool_.report_call_ended(ended);
 }
 
 }  // namespace fennellane
--- a/src/io/adopted.hpp
+++ b/src/io/adopt_socket.hpp
@@ -11,7 +11,7 @@
 
 // Throws std::system_error where it is none.
 template <class Socket>
-void adopt(Socket& socket, FileDescriptor fd) {
+void adopt_tcp_socket(Socket& socket, FileDescriptor fd) {
   sockaddr_storage name{};
   socklen_t size = sizeof name;
   if (::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&name), &size) != 0) {
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -12,7 +12,7 @@
 }
 
 // The moment as timers take it.
-inline std::chrono::steady_clock::time_point steady_moment(Time at) {
+inline std::chrono::steady_clock::time_point to_time_point(Time at) {
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(at));
 }
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 // The relay's name and the payload, which are quoted where the form needs it, stand in the message itself.
-const char* pattern(LogForm form) {
+const char* pattern_for(LogFormat form) {
   switch (form) {
-    case LogForm::logfmt:
+    case LogFormat::logfmt:
       return "time=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v";
-    case LogForm::json:
+    case LogFormat::json:
       return R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
     default:
       return "%v";
@@ -28,19 +28,19 @@
 // Whether a line could block its writer: standard error is a pipe that nobody reads. One that holds less than
 // this part of what it may hold has room for a line, however its pages are filled.
 bool is_blocked_pipe(int descriptor) {
-  constexpr int kPartHeld = 4;
+  constexpr int kMaxFillDivisor = 4;
   const int capacity = ::fcntl(descriptor, F_GETPIPE_SZ);
   int held = 0;
-  return capacity > 0 && ::ioctl(descriptor, FIONREAD, &held) == 0 && held > capacity / kPartHeld;
+  return capacity > 0 && ::ioctl(descriptor, FIONREAD, &held) == 0 && held > capacity / kMaxFillDivisor;
 }
 
 // Bytes of a text in quotes: with the other fields, less than a pipe takes in one piece.
-constexpr std::size_t kMostText = 3600;
+constexpr std::size_t kMaxTextBytes = 3600;
 
 std::string quoted(std::string_view text) { return Json::valueToQuotedString(std::string(text).c_str()); }
 
 // Guards against a line that a peer's text breaks in two and so forges another.
-std::string on_one_line(std::string text) {
+std::string to_single_line(std::string text) {
   for (char& c : text) {
     if (c == '\n' || c == '\r') c = ' ';
   }
@@ -48,20 +48,20 @@
 }
 
 // As much of it as has room in one line of any form.
-std::string cut_to_fit(std::string text) {
-  if (text.size() > kMostText) text.resize(kMostText);
-  while (quoted(text).size() > kMostText) text.resize(text.size() - text.size() / 8);
+std::string truncate_to_fit(std::string text) {
+  if (text.size() > kMaxTextBytes) text.resize(kMaxTextBytes);
+  while (quoted(text).size() > kMaxTextBytes) text.resize(text.size() - text.size() / 8);
   return text;
 }
 
 }  // namespace
 
 Log::Log(const std::string& name, const LogSettings& settings)
-    : form_(settings.form),
-      left_(settings.most_lines),
+    : form_(settings.format),
+      lines_left_(settings.max_lines),
       logger_(std::make_unique<spdlog::logger>(name, std::make_shared<spdlog::sinks::stderr_sink_st>())) {
   logger_->set_formatter(
-      std::make_unique<spdlog::pattern_formatter>(pattern(form_), spdlog::pattern_time_type::utc));
+      std::make_unique<spdlog::pattern_formatter>(pattern_for(form_), spdlog::pattern_time_type::utc));
   logger_->set_error_handler([](const std::string&) {});  // a log that nobody reads must not end the relay
   logger_->flush_on(spdlog::level::info);
 }
@@ -70,31 +70,32 @@
 
 void Log::write(std::string_view part, const std::string& text) {
   if (is_blocked_pipe(STDERR_FILENO)) {
-    ++unwritten_;
+    ++dropped_lines_;
     return;
   }
-  std::string shown = cut_to_fit(text);
-  if (unwritten_ > 0) shown += " (" + std::to_string(std::exchange(unwritten_, 0)) + " lines had no room)";
-  logger_->log(spdlog::level::info, payload(part, shown));
+  std::string shown = truncate_to_fit(text);
+  if (dropped_lines_ > 0)
+    shown += " (" + std::to_string(std::exchange(dropped_lines_, 0)) + " lines had no room)";
+  logger_->log(spdlog::level::info, format_payload(part, shown));
 }
 
-std::string Log::payload(std::string_view part, const std::string& text) const {
+std::string Log::format_payload(std::string_view part, const std::string& text) const {
   const std::string& name = logger_->name();
   const std::string_view speaker = part.empty() ? "relay" : part;
   switch (form_) {
-    case LogForm::logfmt:
+    case LogFormat::logfmt:
       return "relay=" + quoted(name) + " part=" + quoted(speaker) + " msg=" + quoted(text);
-    case LogForm::json:
+    case LogFormat::json:
       return "\"relay\":" + quoted(name) + ",\"part\":" + quoted(speaker) + ",\"msg\":" + quoted(text);
     default:
-      return on_one_line(name + ": " + std::string(part) + (part.empty() ? "" : ": ") + text);
+      return to_single_line(name + ": " + std::string(part) + (part.empty() ? "" : ": ") + text);
   }
 }
 
 void Log::operator()(std::string_view part, const std::string& text) {
-  if (left_ == 0) return;
+  if (lines_left_ == 0) return;
   write(part, text);
-  if (--left_ == 0) write("log", "no more lines are logged");
+  if (--lines_left_ == 0) write("log", "no more lines are logged");
 }
 
 void Log::report(const std::string& text) { write("", text); }
--- a/src/io/log.hpp
+++ b/src/io/log.hpp
@@ -31,11 +31,11 @@
  private:
   void write(std::string_view part, const std::string& text);
   // All of a line but what its pattern adds.
-  std::string payload(std::string_view part, const std::string& text) const;
+  std::string format_payload(std::string_view part, const std::string& text) const;
 
-  const LogForm form_;
-  std::size_t left_;
-  std::size_t unwritten_ = 0;  // lines, since standard error is a pipe that nobody reads
+  const LogFormat form_;
+  std::size_t lines_left_;
+  std::size_t dropped_lines_ = 0;  // lines, since standard error is a pipe that nobody reads
   const std::unique_ptr<spdlog::logger> logger_;
 };
 
--- a/src/io/loop_watch.hpp
+++ b/src/io/loop_lag_monitor.hpp
@@ -9,22 +9,22 @@
 
 namespace fennellane {
 
-class LoopWatch {
+class LoopLagMonitor {
  public:
   // `on_beat` is called every `beat`, with the longest that the loop was late since the last call.
-  using OnBeat = std::function<void(Time latest)>;
-  LoopWatch(asio::io_context& io, Time look, Time beat, OnBeat on_beat);
+  using OnReport = std::function<void(Time latest)>;
+  LoopLagMonitor(asio::io_context& io, Time look, Time beat, OnReport on_beat);
   void start();
 
  private:
-  void wait();
+  void await_check();
 
   asio::steady_timer timer_;
-  const Time look_;
-  const Time beat_;
-  const OnBeat on_beat_;
-  Time latest_{};
-  Time since_beat_{};
+  const Time check_interval_;
+  const Time report_interval_;
+  const OnReport on_report_;
+  Time max_lag_{};
+  Time since_report_{};
 };
 
 }  // namespace fennellane
--- a/src/io/after.hpp
+++ b/src/io/run_after.hpp
@@ -11,7 +11,7 @@
 namespace fennellane {
 
 template <class Action>
-void after(asio::io_context& io, Time pause, Action action) {
+void run_after(asio::io_context& io, Time pause, Action action) {
   const auto timer = std::make_shared<asio::steady_timer>(io, pause);
   timer->async_wait([timer, action = std::move(action)](asio::error_code error) mutable {
     if (!error) action();
--- a/src/io/signals.cpp
+++ b/src/io/signals.cpp
@@ -11,7 +11,7 @@
 namespace fennellane {
 namespace {
 
-FileDescriptor opened(std::initializer_list<int> numbers) {
+FileDescriptor open_signalfd(std::initializer_list<int> numbers) {
   sigset_t set;
   sigemptyset(&set);
   for (const int number : numbers) sigaddset(&set, number);
@@ -24,27 +24,27 @@
 }  // namespace
 
 Signals::Signals(asio::io_context& io, std::initializer_list<int> numbers) : descriptor_(io) {
-  FileDescriptor fd = opened(numbers);
+  FileDescriptor fd = open_signalfd(numbers);
   descriptor_.assign(fd.get());
   fd.release();
 }
 
 void Signals::start(std::function<void(int)> on_signal) {
   on_signal_ = std::move(on_signal);
-  wait();
+  await_signal();
 }
 
-std::optional<int> Signals::take() {
+std::optional<int> Signals::read_pending() {
   signalfd_siginfo info;
   if (::read(descriptor_.native_handle(), &info, sizeof info) != sizeof info) return std::nullopt;
   return static_cast<int>(info.ssi_signo);
 }
 
-void Signals::wait() {
+void Signals::await_signal() {
   descriptor_.async_wait(asio::posix::stream_descriptor::wait_read, [this](asio::error_code error) {
     if (error) return;
-    while (const std::optional<int> number = take()) on_signal_(*number);
-    wait();
+    while (const std::optional<int> number = read_pending()) on_signal_(*number);
+    await_signal();
   });
 }
 
--- a/src/io/signals.hpp
+++ b/src/io/signals.hpp
@@ -18,10 +18,10 @@
 
   void start(std::function<void(int)> on_signal);
   // One that has come and was not handed out.
-  std::optional<int> take();
+  std::optional<int> read_pending();
 
  private:
-  void wait();
+  void await_signal();
 
   std::function<void(int)> on_signal_;
   asio::posix::stream_descriptor descriptor_;
--- a/src/io/socket_error.cpp
+++ b/src/io/socket_error.cpp
@@ -4,7 +4,7 @@
 
 namespace fennellane {
 
-SocketError sort_socket_error(int error) {
+SocketError classify_socket_error(int error) {
   switch (error) {
     case 0:
       return SocketError::none;
@@ -29,10 +29,12 @@
   }
 }
 
-SocketError sort_socket_error(const asio::error_code& error) { return sort_socket_error(error.value()); }
+SocketError classify_socket_error(const asio::error_code& error) {
+  return classify_socket_error(error.value());
+}
 
 // As accept(2) lists them: errors of the network that are waiting on the new connection.
-bool is_of_one_connection(int accept_error) {
+bool affects_one_connection(int accept_error) {
   switch (accept_error) {
     case EINTR:
     case ECONNABORTED:
--- a/src/io/socket_error.hpp
+++ b/src/io/socket_error.hpp
@@ -14,10 +14,10 @@
 };
 
 // Of an errno; 0 is none.
-SocketError sort_socket_error(int error);
-SocketError sort_socket_error(const asio::error_code& error);
+SocketError classify_socket_error(int error);
+SocketError classify_socket_error(const asio::error_code& error);
 
 // Of accept4: whether only the connection that was to be accepted is gone, and the next one may be fine.
-bool is_of_one_connection(int accept_error);
+bool affects_one_connection(int accept_error);
 
 }  // namespace fennellane
--- a/src/io/unread_input.hpp
+++ b/src/io/unread_input.hpp
@@ -11,6 +11,6 @@
 };
 
 // Of a socket that is open; does not block.
-UnreadInput unread_input(int socket);
+UnreadInput peek_unread_input(int socket);
 
 }  // namespace fennellane
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -24,10 +24,10 @@
 // anew.
 constexpr std::string_view kMagic = "fennellane journal 3\n";
 constexpr std::string_view kOlderMagic[] = {"fennellane journal 1\n", "fennellane journal 2\n"};
-constexpr const char* kName = "journal";
-constexpr const char* kNewName = "journal.new";
-constexpr std::uint64_t kLaterRecords = 128;  // room kept for what a held message still writes
-constexpr std::uint64_t kHeadSize = 160;      // the magic, a clock and a fence take less
+constexpr const char* kFileName = "journal";
+constexpr const char* kNewFileName = "journal.new";
+constexpr std::uint64_t kReservedRecordBytes = 128;  // room kept for what a held message still writes
+constexpr std::uint64_t kMaxHeaderBytes = 160;       // the magic, a clock and a fence take less
 
 std::string failure_text(const std::string& operation, int error) {
   return "cannot " + operation + ": " + std::strerror(error);
@@ -85,28 +85,28 @@
 }
 
 Journal::Journal(std::string folder, std::uint64_t most_bytes, Access access)
-    : folder_(std::move(folder)), most_bytes_(most_bytes), owned_(access == Access::owns) {
-  if (owned_) ::unlink(path(kNewName).c_str());  // of a compaction that a crash cut short
+    : folder_(std::move(folder)), max_bytes_(most_bytes), owned_(access == Access::owner) {
+  if (owned_) ::unlink(path(kNewFileName).c_str());  // of a compaction that a crash cut short
   const int create = owned_ ? O_CREAT : 0;
-  file_ = FileDescriptor(::open(path(kName).c_str(), O_RDWR | create | O_APPEND | O_CLOEXEC, 0644));
-  if (file_.get() < 0) throw_failure("open " + path(kName));
-  const std::string text = read_all(file_.get(), path(kName));
+  file_ = FileDescriptor(::open(path(kFileName).c_str(), O_RDWR | create | O_APPEND | O_CLOEXEC, 0644));
+  if (file_.get() < 0) throw_failure("open " + path(kFileName));
+  const std::string text = read_all(file_.get(), path(kFileName));
   const std::string_view start = std::string_view(text).substr(0, kMagic.size());
   if (is_torn_magic(start)) {
-    if (!owned_) throw JournalError(path(kName) + " is not whole");
+    if (!owned_) throw JournalError(path(kFileName) + " is not whole");
     needs_rewrite_ = true;
   } else if (is_known_magic(start)) {
     size_ = kMagic.size();
     replay(std::string_view(text).substr(kMagic.size()));
-    bring_to_clock_of_now();
+    convert_to_current_clock();
   } else {
-    throw JournalError(path(kName) + " is no journal that this program knows");
+    throw JournalError(path(kFileName) + " is no journal that this program knows");
   }
   if (!owned_) return;
   if (needs_rewrite_) {
     compact();
-  } else if (cut_bytes_ > 0) {
-    cut_torn_tail();
+  } else if (truncated_bytes_ > 0) {
+    truncate_torn_tail();
   }
 }
 
@@ -117,10 +117,10 @@
     at += kFrameSize + payload->size();
   }
   size_ += at;
-  cut_bytes_ = records.size() - at;
+  truncated_bytes_ = records.size() - at;
 }
 
-void Journal::cut_torn_tail() {
+void Journal::truncate_torn_tail() {
   if (::ftruncate(file_.get(), static_cast<off_t>(size_)) == 0) return;
   fail("cut the journal's torn tail", errno);
   needs_rewrite_ = true;
@@ -129,35 +129,35 @@
 
 // The moments read are on the clock that the file names. An owner writes them anew on its own before it
 // appends.
-void Journal::bring_to_clock_of_now() {
-  const ClockReading now = read_clock_now();
+void Journal::convert_to_current_clock() {
+  const ClockReading now = read_current_clock();
   const Time shift = clock_ ? steady_shift(*clock_, now) : wall_shift(now);
   needs_rewrite_ = !clock_ || shift != Time(0);
   for (auto& [stream, entry] : held_) {
     entry.deadline += shift;
-    entry.out_since += shift;
-    entry.doubt_since += shift;
+    entry.attempt_started += shift;
+    entry.uncertain_since += shift;
   }
 }
 
 // The one place that says what a record means: for those just written and for those read at a start.
 bool Journal::apply(std::string_view payload) {
   PayloadReader r(payload);
-  const Kind kind{r.get<std::uint8_t>()};
+  const RecordKind kind{r.get<std::uint8_t>()};
   const auto stream = r.get<std::uint64_t>();
-  if (kind == Kind::fence) {
+  if (kind == RecordKind::fence) {
     generation_ = stream;
-    return r.whole();
+    return r.complete();
   }
-  if (kind == Kind::clock) {
+  if (kind == RecordKind::clock) {
     clock_ = read_clock(r);
-    return r.whole();
+    return r.complete();
   }
-  if (kind == Kind::entry) {
+  if (kind == RecordKind::entry) {
     JournalEntry entry = read_entry(r);
-    if (!r.whole()) return false;
-    next_ = std::max(next_, stream + 1);
-    live_ += entry_size(entry);
+    if (!r.complete()) return false;
+    next_stream_ = std::max(next_stream_, stream + 1);
+    live_bytes_ += entry_record_size(entry);
     held_[stream] = std::move(entry);
     return true;
   }
@@ -165,40 +165,40 @@
   if (it == held_.end()) return false;
   JournalEntry& e = it->second;
   switch (kind) {
-    case Kind::started:
+    case RecordKind::started:
       ++e.attempts;
-      e.out = true;
-      e.out_since = r.time();
-      e.out_zone = r.get<std::uint32_t>();
+      e.in_flight = true;
+      e.attempt_started = r.time();
+      e.attempt_zone = r.get<std::uint32_t>();
       break;
-    case Kind::outcome:
-      e.out = false;
+    case RecordKind::outcome:
+      e.in_flight = false;
       if (r.get<std::uint8_t>() != 0 && !e.may_have_run) {
         e.may_have_run = true;
-        e.doubt_since = e.out_since;
-        e.doubt_zone = e.out_zone;
+        e.uncertain_since = e.attempt_started;
+        e.uncertain_zone = e.attempt_zone;
       }
       break;
-    case Kind::given_up:
+    case RecordKind::given_up:
       e.verdict = Verdict{r.get<std::uint8_t>()};
-      e.again = r.time();
+      e.retry_after = r.time();
       break;
-    case Kind::ended:
-      live_ -= entry_size(e);
+    case RecordKind::ended:
+      live_bytes_ -= entry_record_size(e);
       held_.erase(it);
       break;
     default:
       return false;
   }
-  return r.whole();
+  return r.complete();
 }
 
 bool Journal::has_room(std::size_t id_size, std::size_t body_size) const {
   // A quarter stays free, so that a full journal is not compacted at every record.
   JournalEntry empty;
-  const std::uint64_t entry = entry_size(empty) + id_size + body_size + kLaterRecords;
-  const std::uint64_t live = kHeadSize + live_ + held_.size() * kLaterRecords;
-  return live + entry <= most_bytes_ / 4 * 3;
+  const std::uint64_t entry = entry_record_size(empty) + id_size + body_size + kReservedRecordBytes;
+  const std::uint64_t live = kMaxHeaderBytes + live_bytes_ + held_.size() * kReservedRecordBytes;
+  return live + entry <= max_bytes_ / 4 * 3;
 }
 
 // Always false, so that callers can return it.
@@ -209,22 +209,22 @@
 
 // Guards against a process that has been fenced off and does not know it: an owner knows its file to the
 // byte, and in one that has grown, or is no longer the one in the folder, it looks for a later fence.
-bool Journal::is_as_left() {
+bool Journal::is_unchanged() {
   if (!owned_) throw JournalError("the journal has another owner");
   struct stat found {};
   if (::fstat(file_.get(), &found) != 0) return fail("look at the journal", errno);
   if (found.st_nlink > 0 && static_cast<std::uint64_t>(found.st_size) == size_) return true;
   needs_rewrite_ = true;
-  is_surely_own();
+  confirm_ownership();
   return fail("find the journal as it was left", found.st_nlink == 0 ? ENOENT : EIO);
 }
 
 // Whether no later fence stands in the folder; false where that cannot be told now. Throws JournalError where
 // one does.
-bool Journal::is_surely_own() {
+bool Journal::confirm_ownership() {
   if (!owned_) throw JournalError("the journal has another owner");
   try {
-    if (Journal(folder_, most_bytes_, Access::observes).generation() <= generation_) return true;
+    if (Journal(folder_, max_bytes_, Access::observer).generation() <= generation_) return true;
   } catch (const JournalError& e) {
     // None is there, or nothing that a process of this program has written.
     if (e.error() == ENOENT || e.error() == 0) return true;
@@ -237,28 +237,28 @@
 void Journal::fence(Generation to) {
   // Guards the next owner against a file that tells less than this one knows.
   if (needs_rewrite_) throw JournalError("the journal has to be written anew first", EIO);
-  if (!append(framed(PayloadWriter(Kind::fence, to).text()))) {
+  if (!append(add_frame(PayloadWriter(RecordKind::fence, to).text()))) {
     throw JournalError(failure_->text(), failure_->error);
   }
   generation_ = to;
   owned_ = false;
 }
 
-bool Journal::moved() const {
+bool Journal::file_replaced() const {
   struct stat here {
   }, known{};
-  return ::stat(path(kName).c_str(), &here) != 0 || ::fstat(file_.get(), &known) != 0 ||
+  return ::stat(path(kFileName).c_str(), &here) != 0 || ::fstat(file_.get(), &known) != 0 ||
          here.st_ino != known.st_ino || here.st_dev != known.st_dev;
 }
 
 void Journal::catch_up() {
   // It was compacted.
-  if (moved()) {
-    *this = Journal(folder_, most_bytes_, Access::observes);
+  if (file_replaced()) {
+    *this = Journal(folder_, max_bytes_, Access::observer);
     return;
   }
-  if (::lseek(file_.get(), static_cast<off_t>(size_), SEEK_SET) < 0) throw_failure("read " + path(kName));
-  replay(read_all(file_.get(), path(kName)));
+  if (::lseek(file_.get(), static_cast<off_t>(size_), SEEK_SET) < 0) throw_failure("read " + path(kFileName));
+  replay(read_all(file_.get(), path(kFileName)));
 }
 
 void Journal::claim(Generation generation) {
@@ -266,10 +266,11 @@
   // Guards against a state that is older than the journal: its owner must have been frozen since.
   const std::uint64_t known = size_;
   const Generation before = generation_;
-  if (moved()) throw JournalError("the journal has gone on since");
+  if (file_replaced()) throw JournalError("the journal has gone on since");
   catch_up();
-  const std::uint64_t fence = generation_ == before ? 0 : framed(PayloadWriter(Kind::fence, 0).text()).size();
-  if (cut_bytes_ > 0 || size_ != known + fence) throw JournalError("the journal has gone on since");
+  const std::uint64_t fence =
+      generation_ == before ? 0 : add_frame(PayloadWriter(RecordKind::fence, 0).text()).size();
+  if (truncated_bytes_ > 0 || size_ != known + fence) throw JournalError("the journal has gone on since");
   const bool fenced = generation_ == generation;
   if (!fenced && generation_ + 1 != generation) throw JournalError("the journal has another owner");
   owned_ = true;
@@ -279,9 +280,9 @@
 }
 
 bool Journal::append(const std::string& record) {
-  if (!is_as_left()) return false;
-  if (size_ + record.size() > most_bytes_ && !compact()) return false;
-  if (size_ + record.size() > most_bytes_) return fail("write beyond the journal's limit", ENOSPC);
+  if (!is_unchanged()) return false;
+  if (size_ + record.size() > max_bytes_ && !compact()) return false;
+  if (size_ + record.size() > max_bytes_) return fail("write beyond the journal's limit", ENOSPC);
   if (const int error = write_all(file_.get(), record); error != 0) {
     // Guards against half a record, behind which nothing would be read.
     needs_rewrite_ = ::ftruncate(file_.get(), static_cast<off_t>(size_)) != 0;
@@ -293,46 +294,46 @@
   return true;
 }
 
-void Journal::apply_own(const std::string& payload) {
+void Journal::apply_written(const std::string& payload) {
   if (!apply(payload)) throw JournalError("a record of a message that is not held");
 }
 
-bool Journal::record_first(const std::string& payload) {
+bool Journal::write_then_apply(const std::string& payload) {
   if (!owned_) throw JournalError("the journal has another owner");
   if (needs_rewrite_ && !repair()) return false;
-  if (!append(framed(payload))) return false;
-  apply_own(payload);
+  if (!append(add_frame(payload))) return false;
+  apply_written(payload);
   return true;
 }
 
-void Journal::record_after(const std::string& payload) {
+void Journal::apply_best_effort(const std::string& payload) {
   if (!owned_) throw JournalError("the journal has another owner");
-  if (needs_rewrite_ || !append(framed(payload))) needs_rewrite_ = true;
-  apply_own(payload);
+  if (needs_rewrite_ || !append(add_frame(payload))) needs_rewrite_ = true;
+  apply_written(payload);
 }
 
 bool Journal::repair() {
   if (!failure_ && !needs_rewrite_) return true;
-  return is_surely_own() && compact();
+  return confirm_ownership() && compact();
 }
 
-std::string Journal::whole_text() const {
+std::string Journal::compacted_text() const {
   std::string text(kMagic);
-  text += framed(clock_payload(read_clock_now()));
-  if (generation_ > 1) text += framed(PayloadWriter(Kind::fence, generation_).text());
-  for (const auto& [stream, entry] : held_) text += framed(entry_payload(stream, entry));
+  text += add_frame(clock_payload(read_current_clock()));
+  if (generation_ > 1) text += add_frame(PayloadWriter(RecordKind::fence, generation_).text());
+  for (const auto& [stream, entry] : held_) text += add_frame(entry_payload(stream, entry));
   return text;
 }
 
 bool Journal::compact() {
-  const std::string text = whole_text();
+  const std::string text = compacted_text();
   FileDescriptor file(
-      ::open(path(kNewName).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644));
+      ::open(path(kNewFileName).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644));
   if (file.get() < 0) return fail("open a new journal", errno);
   int error = write_all(file.get(), text);
-  if (error == 0 && ::rename(path(kNewName).c_str(), path(kName).c_str()) != 0) error = errno;
+  if (error == 0 && ::rename(path(kNewFileName).c_str(), path(kFileName).c_str()) != 0) error = errno;
   if (error != 0) {
-    ::unlink(path(kNewName).c_str());  // guards the disk's limit against half a file
+    ::unlink(path(kNewFileName).c_str());  // guards the disk's limit against half a file
     return fail("write a new journal", error);
   }
   file_ = std::move(file);
@@ -343,27 +344,30 @@
   return true;
 }
 
-bool Journal::taken(StreamId stream, JournalEntry entry) {
-  return record_first(entry_payload(stream, entry));
+bool Journal::message_accepted(StreamId stream, JournalEntry entry) {
+  return write_then_apply(entry_payload(stream, entry));
 }
 namespace {
 std::string started_payload(StreamId stream, Time now, std::uint32_t zone) {
-  return PayloadWriter(Kind::started, stream).put(now).put(zone).text();
+  return PayloadWriter(RecordKind::started, stream).put(now).put(zone).text();
 }
 }  // namespace
 bool Journal::attempt_started(StreamId stream, Time now, std::uint32_t zone) {
-  return record_first(started_payload(stream, now, zone));
+  return write_then_apply(started_payload(stream, now, zone));
 }
-void Journal::attempt_started_unrecorded(StreamId stream, Time now, std::uint32_t zone) {
-  record_after(started_payload(stream, now, zone));
+void Journal::attempt_started_best_effort(StreamId stream, Time now, std::uint32_t zone) {
+  apply_best_effort(started_payload(stream, now, zone));
 }
 void Journal::attempt_ended(StreamId stream, bool may_have_run) {
-  record_after(PayloadWriter(Kind::outcome, stream).put(static_cast<std::uint8_t>(may_have_run)).text());
+  apply_best_effort(
+      PayloadWriter(RecordKind::outcome, stream).put(static_cast<std::uint8_t>(may_have_run)).text());
 }
-void Journal::given_up(StreamId stream, Verdict verdict, Time again) {
-  record_after(
-      PayloadWriter(Kind::given_up, stream).put(static_cast<std::uint8_t>(verdict)).put(again).text());
+void Journal::message_given_up(StreamId stream, Verdict verdict, Time again) {
+  apply_best_effort(
+      PayloadWriter(RecordKind::given_up, stream).put(static_cast<std::uint8_t>(verdict)).put(again).text());
+}
+void Journal::message_ended(StreamId stream) {
+  apply_best_effort(PayloadWriter(RecordKind::ended, stream).text());
 }
-void Journal::ended(StreamId stream) { record_after(PayloadWriter(Kind::ended, stream).text()); }
 
 }  // namespace fennellane
--- a/src/journal/journal.hpp
+++ b/src/journal/journal.hpp
@@ -57,12 +57,12 @@
   // Opens the journal in the folder and reads it as far as it is sound. Throws JournalError where it cannot
   // be opened or read, or is no journal; where it can only not be written, it fails as it does later. An
   // observer writes nothing, not even a cut, until `claim`.
-  enum class Access { owns, observes };
-  Journal(std::string folder, std::uint64_t most_bytes, Access access = Access::owns);
+  enum class Access { owner, observer };
+  Journal(std::string folder, std::uint64_t most_bytes, Access access = Access::owner);
 
   // Moments are on the steady clock of this boot.
   const std::map<StreamId, JournalEntry>& held() const { return held_; }
-  StreamId next_stream() const { return next_; }
+  StreamId next_stream() const { return next_stream_; }
   // Whether a message can be taken on so that its later records, and a compaction, fit as well.
   bool has_room(std::size_t id_size, std::size_t body_size) const;
 
@@ -80,13 +80,13 @@
 
   // Records that must stand in the file before what they tell of happens. False, and nothing has changed,
   // while storage fails. These and all others throw JournalError only where the journal is another process's.
-  bool taken(StreamId stream, JournalEntry entry);
+  bool message_accepted(StreamId stream, JournalEntry entry);
   bool attempt_started(StreamId stream, Time now, std::uint32_t zone);
   // Of what happens whether or not it is recorded: in memory at once, in the file when it can be written.
-  void attempt_started_unrecorded(StreamId stream, Time now, std::uint32_t zone);
+  void attempt_started_best_effort(StreamId stream, Time now, std::uint32_t zone);
   void attempt_ended(StreamId stream, bool may_have_run);
-  void given_up(StreamId stream, Verdict verdict, Time again);
-  void ended(StreamId stream);
+  void message_given_up(StreamId stream, Verdict verdict, Time again);
+  void message_ended(StreamId stream);
 
   // What the newest write failed at, until one succeeds or `repair` does.
   const std::optional<StorageFailure>& failure() const { return failure_; }
@@ -96,42 +96,42 @@
   std::uint64_t size() const { return size_; }
   std::uint64_t records() const { return records_; }
   std::uint64_t compactions() const { return compactions_; }
-  std::uint64_t cut_bytes() const { return cut_bytes_; }  // of a torn tail, when it was last read
+  std::uint64_t truncated_bytes() const { return truncated_bytes_; }  // of a torn tail, when it was last read
 
  private:
-  bool record_first(const std::string& payload);
-  void record_after(const std::string& payload);
+  bool write_then_apply(const std::string& payload);
+  void apply_best_effort(const std::string& payload);
   bool append(const std::string& record);
-  bool is_as_left();
-  bool is_surely_own();
+  bool is_unchanged();
+  bool confirm_ownership();
   bool fail(const char* operation, int error);
-  void apply_own(const std::string& payload);
+  void apply_written(const std::string& payload);
   bool apply(std::string_view payload);
   // Records that follow what is known.
   void replay(std::string_view records);
-  void bring_to_clock_of_now();
-  void cut_torn_tail();
-  bool moved() const;  // the journal in the folder is another file
-  std::string whole_text() const;
+  void convert_to_current_clock();
+  void truncate_torn_tail();
+  bool file_replaced() const;  // the journal in the folder is another file
+  std::string compacted_text() const;
   bool compact();
   std::string path(const char* name) const { return folder_ + "/" + name; }
 
   std::string folder_;
-  std::uint64_t most_bytes_ = 0;
+  std::uint64_t max_bytes_ = 0;
   Generation generation_ = 1;
   bool owned_ = false;
   FileDescriptor file_;
   std::uint64_t size_ = 0;
-  std::uint64_t live_ = 0;  // bytes that a compaction would write
+  std::uint64_t live_bytes_ = 0;  // bytes that a compaction would write
   std::map<StreamId, JournalEntry> held_;
-  StreamId next_ = 1;
+  StreamId next_stream_ = 1;
   std::optional<journal::ClockReading>
       clock_;  // of the file; none: of a version whose moments are on the wall clock
   std::optional<StorageFailure> failure_;
   bool needs_rewrite_ = false;  // the file tells less than memory, or has an unsound tail
   std::uint64_t records_ = 0;
   std::uint64_t compactions_ = 0;
-  std::uint64_t cut_bytes_ = 0;
+  std::uint64_t truncated_bytes_ = 0;
 };
 
 }  // namespace fennellane
--- a/src/journal/journal_clock.cpp
+++ b/src/journal/journal_clock.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ClockReading read_clock_now() {
+ClockReading read_current_clock() {
   static const std::string boot = boot_id();
   using std::chrono::duration_cast;
   return {boot, duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch()),
--- a/src/journal/journal_clock.hpp
+++ b/src/journal/journal_clock.hpp
@@ -14,7 +14,7 @@
   WallTime wall{};
 };
 
-ClockReading read_clock_now();
+ClockReading read_current_clock();
 
 // What is added to a moment on the old reading's steady clock to have it on the new one's. Zero within one
 // boot; over a reboot only the wall clock tells how long it was.
--- a/src/journal/record_codec.cpp
+++ b/src/journal/record_codec.cpp
@@ -7,7 +7,7 @@
 namespace fennellane::journal {
 namespace {
 
-constexpr std::size_t kMostRecord = kMiB;  // far over any record that is written
+constexpr std::size_t kMaxRecordSize = kMiB;  // far over any record that is written
 
 std::uint32_t checksum(std::string_view text) {
   return static_cast<std::uint32_t>(
@@ -19,7 +19,7 @@
 std::string PayloadReader::text() {
   const auto size = get<std::uint32_t>();
   if (size > text_.size()) {
-    good_ = false;
+    valid_ = false;
     return {};
   }
   std::string out(text_.substr(0, size));
@@ -28,11 +28,11 @@
 }
 
 std::string entry_payload(StreamId stream, const JournalEntry& e) {
-  PayloadWriter w(Kind::entry, stream);
+  PayloadWriter w(RecordKind::entry, stream);
   w.put(std::string_view(e.id)).put(e.message_class).put(e.tenant).put(e.destination).put(e.deadline);
-  w.put(e.attempts).put(static_cast<std::uint8_t>(e.out)).put(e.out_since).put(e.out_zone);
-  w.put(static_cast<std::uint8_t>(e.may_have_run)).put(e.doubt_since).put(e.doubt_zone);
-  w.put(static_cast<std::uint8_t>(e.verdict ? *e.verdict : Verdict{})).put(e.again);
+  w.put(e.attempts).put(static_cast<std::uint8_t>(e.in_flight)).put(e.attempt_started).put(e.attempt_zone);
+  w.put(static_cast<std::uint8_t>(e.may_have_run)).put(e.uncertain_since).put(e.uncertain_zone);
+  w.put(static_cast<std::uint8_t>(e.verdict ? *e.verdict : Verdict{})).put(e.retry_after);
   w.put(std::string_view(*e.body)).put(std::string_view(e.idempotency_key));
   return w.text();
 }
@@ -45,21 +45,21 @@
   e.destination = r.get<std::uint32_t>();
   e.deadline = r.time();
   e.attempts = r.get<std::uint32_t>();
-  e.out = r.get<std::uint8_t>() != 0;
-  e.out_since = r.time();
-  e.out_zone = r.get<std::uint32_t>();
+  e.in_flight = r.get<std::uint8_t>() != 0;
+  e.attempt_started = r.time();
+  e.attempt_zone = r.get<std::uint32_t>();
   e.may_have_run = r.get<std::uint8_t>() != 0;
-  e.doubt_since = r.time();
-  e.doubt_zone = r.get<std::uint32_t>();
+  e.uncertain_since = r.time();
+  e.uncertain_zone = r.get<std::uint32_t>();
   if (const auto verdict = r.get<std::uint8_t>(); verdict != 0) e.verdict = static_cast<Verdict>(verdict);
-  e.again = r.time();
+  e.retry_after = r.time();
   e.body = std::make_shared<const std::string>(r.text());
-  if (!r.whole()) e.idempotency_key = r.text();  // older versions have none
+  if (!r.complete()) e.idempotency_key = r.text();  // older versions have none
   return e;
 }
 
 std::string clock_payload(const ClockReading& clock) {
-  return PayloadWriter(Kind::clock, 0)
+  return PayloadWriter(RecordKind::clock, 0)
       .put(std::string_view(clock.boot))
       .put(clock.steady)
       .put(clock.wall)
@@ -74,7 +74,7 @@
   return clock;
 }
 
-std::string framed(const std::string& payload) {
+std::string add_frame(const std::string& payload) {
   std::string out;
   for (std::uint32_t value : {static_cast<std::uint32_t>(payload.size()), checksum(payload)}) {
     for (int i = 0; i < 4; ++i) out += static_cast<char>(value >> (8 * i) & 0xff);
@@ -82,8 +82,8 @@
   return out + payload;
 }
 
-std::size_t entry_size(const JournalEntry& e) {
-  static const std::size_t empty = framed(entry_payload(0, JournalEntry{})).size();
+std::size_t entry_record_size(const JournalEntry& e) {
+  static const std::size_t empty = add_frame(entry_payload(0, JournalEntry{})).size();
   return empty + e.id.size() + e.idempotency_key.size() + e.body->size();
 }
 
@@ -92,7 +92,7 @@
   PayloadReader head(records.substr(0, kFrameSize));
   const auto size = head.get<std::uint32_t>();
   const auto sum = head.get<std::uint32_t>();
-  if (size > kMostRecord || records.size() - kFrameSize < size) return std::nullopt;
+  if (size > kMaxRecordSize || records.size() - kFrameSize < size) return std::nullopt;
   const std::string_view payload = records.substr(kFrameSize, size);
   if (checksum(payload) != sum) return std::nullopt;
   return payload;
--- a/src/journal/record_codec.hpp
+++ b/src/journal/record_codec.hpp
@@ -12,7 +12,7 @@
 
 namespace fennellane::journal {
 
-enum class Kind : std::uint8_t {
+enum class RecordKind : std::uint8_t {
   entry = 1,
   started = 2,
   outcome = 3,
@@ -24,7 +24,7 @@
 
 class PayloadWriter {
  public:
-  PayloadWriter(Kind kind, StreamId stream) { put(static_cast<std::uint8_t>(kind)).put(stream); }
+  PayloadWriter(RecordKind kind, StreamId stream) { put(static_cast<std::uint8_t>(kind)).put(stream); }
   template <class T>
   PayloadWriter& put(T value) {
     static_assert(std::is_unsigned_v<T>);
@@ -53,7 +53,7 @@
   T get() {
     std::uint64_t value = 0;
     if (text_.size() < sizeof(T)) {
-      good_ = false;
+      valid_ = false;
       return {};
     }
     for (std::size_t i = 0; i < sizeof(T); ++i) {
@@ -67,11 +67,11 @@
   }
   std::string text();
   // Whether exactly all of it has been read.
-  bool whole() const { return good_ && text_.empty(); }
+  bool complete() const { return valid_ && text_.empty(); }
 
  private:
   std::string_view text_;
-  bool good_ = true;
+  bool valid_ = true;
 };
 
 std::string entry_payload(StreamId stream, const JournalEntry& entry);
@@ -80,9 +80,9 @@
 ClockReading read_clock(PayloadReader& reader);
 
 // The payload with its length and checksum in front.
-std::string framed(const std::string& payload);
+std::string add_frame(const std::string& payload);
 // Of an entry's record, frame included.
-std::size_t entry_size(const JournalEntry& entry);
+std::size_t entry_record_size(const JournalEntry& entry);
 
 // The payload of the first record, if it is whole and its checksum right.
 std::optional<std::string_view> first_payload(std::string_view records);
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -49,81 +49,82 @@
   Time spread = std::chrono::seconds(5);       // tries at a free key are spread over so long
   bool operator==(const Timing&) const = default;
 };
-constexpr Time kConsulLeastTtl = std::chrono::seconds(10);  // unless its agents set session_ttl_min
+constexpr Time kConsulMinTtl = std::chrono::seconds(10);  // unless its agents set session_ttl_min
 // Empty where `timing` can't be kept: a renew and its answer must fit before acting ends. `least_ttl`:
 // Consul's.
-std::string timing_problem(const Timing& timing, Time least_ttl = kConsulLeastTtl);
+std::string timing_problem(const Timing& timing, Time least_ttl = kConsulMinTtl);
 
 // --- What the caller tells
-struct Want {};    // seek the role
-struct Unwant {};  // give it up: it is released and its session destroyed
-struct SessionMade {
+struct AcquireRole {};  // seek the role
+struct ResignRole {};   // give it up: it is released and its session destroyed
+struct SessionCreated {
   std::string id;
   Time sent{};  // when the create was sent
 };
-struct LockAnswer {  // Consul's true or false to ?acquire
-  bool held = false;
+struct AcquireAnswered {  // Consul's true or false to ?acquire
+  bool acquired = false;
   Time sent{};
 };
-struct RenewAnswer {
-  bool alive = false;  // false: 404, the session is gone
+struct RenewAnswered {
+  bool session_alive = false;  // false: 404, the session is gone
   Time sent{};
 };
 struct CallFailed {};  // the call out had no answer in `call`, or an error
-struct KeySeen {       // from the blocking read of the key
+struct KeyRead {       // from the blocking read of the key
   std::string holder;  // its Session; empty = nobody holds it
   Token lock_index = 0;
-  std::uint64_t index = 0;  // its ModifyIndex: an answer older than the last one read is dropped
-  bool afresh =
+  std::uint64_t modify_index = 0;  // its ModifyIndex: an answer older than the last one read is dropped
+  bool index_reset =
       false;  // Consul's index has gone backwards, as after a state that was lost: taken all the same
   // Nobody holds it, and its last holder has not released it: Consul refuses it within the lock-delay. A
   // release leaves the key without a value, a lapse leaves it with its holder's.
   bool lapsed = false;
 };
-struct Done {};     // the release and the destroy were answered, or failed
-struct TimeDue {};  // the timer that SetTimer asked for
-using Input =
-    std::variant<Want, Unwant, SessionMade, LockAnswer, RenewAnswer, CallFailed, KeySeen, Done, TimeDue>;
+struct SessionReleased {};  // the release and the destroy were answered, or failed
+struct TimerExpired {};     // the timer that SetTimer asked for
+using Input = std::variant<AcquireRole, ResignRole, SessionCreated, AcquireAnswered, RenewAnswered,
+                           CallFailed, KeyRead, SessionReleased, TimerExpired>;
 
 // --- What the caller does; of the calls, one at a time is out, each answered by one input
 struct CreateSession {
   Time ttl{}, lock_delay{};  // Behavior "release"
 };
-struct Acquire {
+struct AcquireLock {
   std::string session;
 };
-struct Renew {
+struct RenewSession {
   std::string session;
 };
-struct Release {  // the key, then the session; answered by Done
+struct ReleaseSession {  // the key, then the session; answered by Done
   std::string session;
-  bool holds = false;  // false: only the session is destroyed
+  bool holds_lock = false;  // false: only the session is destroyed
 };
-struct Act {  // from now on, work in the role may be done, with this token, while `may_act`
+struct LeaseActive {  // from now on, work in the role may be done, with this token, while `may_act`
   Token token = 0;
 };
-struct Stop {  // from now on nothing is done in the role; what is under way is called off
-  std::string why;
+struct LeaseInactive {  // from now on nothing is done in the role; what is under way is called off
+  std::string reason;
 };
 struct SetTimer {
   Time at{};
 };
-enum class Event : std::uint8_t { session, acquired, renew_missed, lapsed, resumed, lost, given_up };
-struct Say {  // a line for the log
-  Event event{};
+enum class LogEvent : std::uint8_t { session, acquired, renew_missed, lapsed, resumed, lost, resigned };
+struct LogMessage {  // a line for the log
+  LogEvent event{};
   std::string text;
 };
-using Effect = std::variant<CreateSession, Acquire, Renew, Release, Act, Stop, SetTimer, Say>;
+using Effect = std::variant<CreateSession, AcquireLock, RenewSession, ReleaseSession, LeaseActive,
+                            LeaseInactive, SetTimer, LogMessage>;
 
 class Lease {
  public:
-  enum class Step : std::uint8_t {
+  enum class State : std::uint8_t {
     off,        // not wanted; no session
     waiting,    // wanted; no session while another holds the key, or until it has been read
-    making,     // the session is being created
+    creating,   // the session is being created
     seeking,    // a session, not the lock
     holding,    // the lock, the token not yet seen
-    acting,     // the lock and its token
+    active,     // the lock and its token
     lapsed,     // had the lock; no renew was confirmed in time: nothing is done until one is
     releasing,  // given up
   };
@@ -132,60 +133,62 @@
 
   std::vector<Effect> handle(Time now, const Input& input);
 
-  Step step() const { return step_; }
+  State state() const { return state_; }
   // True while work in the role may be done: asked before each piece of it, on the same clock.
   bool may_act(Time now) const;
   std::optional<Token> token() const;
   const std::string& session() const { return session_; }
   // A call is out whose answer another process would never hear: it is told CallFailed first.
-  bool call_out() const { return out_ != Call::none; }
+  bool call_in_flight() const { return pending_call_ != Call::none; }
   std::optional<Time> timer() const { return timer_set_ ? std::optional<Time>(timer_) : std::nullopt; }
   // For a process that takes over from this one: all of it, with points in time as they are.
   template <class Archive>
-  void remember(Archive& archive);
+  void serialize_state(Archive& archive);
   // All that its next decision rests on, times as offsets from `now`: two leases alike act alike.
   std::string fingerprint(Time now) const;
 
  private:
   enum class Call : std::uint8_t { none, create, acquire, renew, release };
   using Effects = std::vector<Effect>;
-  void on(Time now, const Want&, Effects& out);
-  void on(Time now, const Unwant&, Effects& out);
-  void on(Time now, const SessionMade& made, Effects& out);
-  void on(Time now, const LockAnswer& answer, Effects& out);
-  void on(Time now, const RenewAnswer& answer, Effects& out);
+  void on(Time now, const AcquireRole&, Effects& out);
+  void on(Time now, const ResignRole&, Effects& out);
+  void on(Time now, const SessionCreated& made, Effects& out);
+  void on(Time now, const AcquireAnswered& answer, Effects& out);
+  void on(Time now, const RenewAnswered& answer, Effects& out);
   void on(Time now, const CallFailed&, Effects& out);
-  void on(Time now, const KeySeen& seen, Effects& out);
-  void on(Time now, const Done&, Effects& out);
-  void on(Time now, const TimeDue&, Effects& out);
+  void on(Time now, const KeyRead& seen, Effects& out);
+  void on(Time now, const SessionReleased&, Effects& out);
+  void on(Time now, const TimerExpired&, Effects& out);
   void next_call(Time now, Effects& out);
-  void let_go(bool holds, Effects& out);
-  void act(Effects& out);
-  void stop(Event event, const std::string& why, Step next, Effects& out);
-  void try_later(Time now, Time least);
-  void forget_session();
-  Time acting_ends() const { return confirmed_ + timing_.ttl - timing_.margin; }
-  bool has_lock() const { return step_ == Step::holding || step_ == Step::acting || step_ == Step::lapsed; }
-  bool key_ours() const { return key_seen_ && !session_.empty() && seen_holder_ == session_; }
+  void release_session(bool holds, Effects& out);
+  void activate(Effects& out);
+  void deactivate(LogEvent event, const std::string& why, State next, Effects& out);
+  void delay_next_attempt(Time now, Time least);
+  void clear_session();
+  Time active_until() const { return confirmed_ + timing_.ttl - timing_.margin; }
+  bool has_lock() const {
+    return state_ == State::holding || state_ == State::active || state_ == State::lapsed;
+  }
+  bool holds_key() const { return key_read_ && !session_.empty() && key_holder_ == session_; }
   // The key as last read is free, or ours: an acquire may be asked for.
-  bool key_free() const { return key_seen_ && (seen_holder_.empty() || key_ours()); }
+  bool key_available() const { return key_read_ && (key_holder_.empty() || holds_key()); }
 
   Timing timing_;
   std::uint64_t seed_;
-  std::uint64_t draws_ = 0;  // of random spans so far
-  Step step_ = Step::off;
-  bool wanted_ = false;
-  Call out_ = Call::none;
-  std::string session_;      // empty: none
-  Time confirmed_{};         // the send of the newest confirmed create or renew
-  Time next_try_{};          // no acquire or create before it
-  std::string seen_holder_;  // of the key, as last read
-  Token seen_index_ = 0;
-  std::uint64_t seen_modify_ = 0;
-  std::uint64_t acquired_after_ = 0;  // the key's ModifyIndex as read before our acquire
-  bool key_seen_ = false;
-  Token token_ = 0;    // while acting
-  bool drop_ = false;  // the session has lost the lock, and is destroyed next
+  std::uint64_t random_draws_ = 0;  // of random spans so far
+  State state_ = State::off;
+  bool role_wanted_ = false;
+  Call pending_call_ = Call::none;
+  std::string session_;     // empty: none
+  Time confirmed_{};        // the send of the newest confirmed create or renew
+  Time next_attempt_{};     // no acquire or create before it
+  std::string key_holder_;  // of the key, as last read
+  Token key_lock_index_ = 0;
+  std::uint64_t key_modify_index_ = 0;
+  std::uint64_t index_before_acquire_ = 0;  // the key's ModifyIndex as read before our acquire
+  bool key_read_ = false;
+  Token token_ = 0;         // while acting
+  bool lock_lost_ = false;  // the session has lost the lock, and is destroyed next
   bool timer_set_ = false;
   Time timer_{};
 };
--- a/src/lease/written.hpp
+++ b/src/lease/write_result.hpp
@@ -5,10 +5,10 @@
 
 namespace fennellane::lease {
 
-enum class Written : std::uint8_t {
-  taken,
+enum class WriteResult : std::uint8_t {
+  accepted,
   refused,  // nothing of it took place: the role, or what was read before, has changed
-  failed    // nobody knows
+  unknown   // nobody knows
 };
 
 }  // namespace fennellane::lease
