--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,47 +27,47 @@
 
 namespace {
 
-constexpr int kBadConfig = 2;
-constexpr int kNoListener = 3;
+constexpr int kBadConfigExitCode = 2;
+constexpr int kNoListenerExitCode = 3;
 
 using fennellane::record::Fate;
-const std::map<std::string, Fate> kEndings = {{"in-time", Fate::in_time},
-                                              {"late", Fate::late},
-                                              {"withdrawn", Fate::withdrawn},
-                                              {"refused", Fate::refused_admission},
-                                              {"room", Fate::made_room},
-                                              {"time", Fate::no_time},
-                                              {"attempts", Fate::no_attempt},
-                                              {"doubt", Fate::doubtful},
-                                              {"answered-late", Fate::answered_late},
-                                              {"held", Fate::held}};
+const std::map<std::string, Fate> kFateNames = {{"in-time", Fate::in_time},
+                                                {"late", Fate::late},
+                                                {"withdrawn", Fate::withdrawn},
+                                                {"refused", Fate::refused_admission},
+                                                {"room", Fate::made_room},
+                                                {"time", Fate::no_time},
+                                                {"attempts", Fate::no_attempt},
+                                                {"doubt", Fate::doubtful},
+                                                {"answered-late", Fate::answered_late},
+                                                {"held", Fate::held}};
 
 // What a process does that was started to take over from another.
-class TakingOver : public fennellane::upgrade::Successor {
+class RelaySuccessor : public fennellane::upgrade::Successor {
  public:
-  TakingOver(std::function<fennellane::Config()> read, std::string state, fennellane::ProcessPlace place)
-      : read_(std::move(read)), state_(std::move(state)), place_(std::move(place)) {}
+  RelaySuccessor(std::function<fennellane::Config()> read, std::string state, fennellane::LaunchContext place)
+      : read_(std::move(read)), state_(std::move(state)), launch_context_(std::move(place)) {}
 
-  std::string check() override {
+  std::string check_configuration() override {
     return failure_of([this] {
       config_ = read_();
       if (!config_.upgrade) throw fennellane::ConfigError("its settings switch upgrades off");
-      journal_.emplace(state_, config_.limits.journal_file, fennellane::Journal::Access::observes);
+      journal_.emplace(state_, config_.limits.max_journal_file, fennellane::Journal::Access::observer);
     });
   }
-  std::string build(const std::string& state, fennellane::DescriptorsIn& descriptors,
-                    std::uint64_t journal_bytes) override {
+  std::string build_relay(const std::string& state, fennellane::IncomingDescriptors& descriptors,
+                          std::uint64_t journal_bytes) override {
     return failure_of([&] {
       journal_->catch_up();
-      if (journal_->size() != journal_bytes || journal_->cut_bytes() > 0) {
+      if (journal_->size() != journal_bytes || journal_->truncated_bytes() > 0) {
         throw fennellane::JournalError("the journal is not as the old process left it");
       }
-      relay_.emplace(config_, state_, read_, place_, std::move(*journal_));
+      relay_.emplace(config_, state_, read_, launch_context_, std::move(*journal_));
       relay_->load(state, descriptors);
     });
   }
-  std::string claim(fennellane::handover::Generation generation) override {
-    return failure_of([&] { relay_->claim(generation); });
+  std::string claim_journal(fennellane::handover::Generation generation) override {
+    return failure_of([&] { relay_->claim_journal(generation); });
   }
   fennellane::Relay& relay() { return *relay_; }
 
@@ -84,29 +84,29 @@
 
   const std::function<fennellane::Config()> read_;
   const std::string state_;
-  const fennellane::ProcessPlace place_;
+  const fennellane::LaunchContext launch_context_;
   fennellane::Config config_;
   std::optional<fennellane::Journal> journal_;
   std::optional<fennellane::Relay> relay_;
 };
 
 int take_over(int channel, const std::function<fennellane::Config()>& read, const std::string& state,
-              const fennellane::ProcessPlace& place) {
-  TakingOver successor(read, state, place);
+              const fennellane::LaunchContext& place) {
+  RelaySuccessor successor(read, state, place);
   fennellane::upgrade::NewProcess process(fennellane::FileDescriptor(channel), successor,
                                           [](const std::string& text) {
                                             std::fprintf(stderr, "fennellane: the new process %d: %s\n",
                                                          static_cast<int>(::getpid()), text.c_str());
                                           });
   if (!process.run()) return 1;
-  successor.relay().watch_old(process.take_channel());
+  successor.relay().watch_old_process(process.release_channel());
   successor.relay().run();
   return 0;
 }
 
 // Guards a start against a system that is short of something for a moment.
 template <class Make>
-void retry_for_shortage(fennellane::Time limit, Make make) {
+void retry_on_system_error(fennellane::Time limit, Make make) {
   constexpr std::chrono::milliseconds kPause{50};
   const auto end = std::chrono::steady_clock::now() + limit;
   while (true) {
@@ -123,48 +123,48 @@
 int serve(const std::string& config_path, const std::string& settings_path, const std::string& state,
           const fennellane::upgrade::CommandLine& command) {
   namespace upgrade = fennellane::upgrade;
-  const int channel = upgrade::taken_variable(upgrade::kHandoverVariable);
-  const int watcher = upgrade::taken_variable(upgrade::kWatcherVariable);
+  const int channel = upgrade::consume_variable(upgrade::kHandoverVariable);
+  const int watcher = upgrade::consume_variable(upgrade::kWatcherVariable);
   const auto read = [&] { return fennellane::read_config(config_path, settings_path); };
-  const fennellane::ProcessPlace place{command, watcher};
+  const fennellane::LaunchContext place{command, watcher};
   if (channel >= 0) return take_over(channel, read, state, place);
   try {
     fennellane::Config config = read();
-    if (config.upgrade && watcher < 0) return upgrade::watch_over(command, state);
-    if (watcher >= 0) upgrade::die_with(watcher);
+    if (config.upgrade && watcher < 0) return upgrade::run_watcher(command, state);
+    if (watcher >= 0) upgrade::set_parent_death_signal(watcher);
     std::optional<fennellane::Relay> relay;
-    retry_for_shortage(config.limits.start_wait, [&] { relay.emplace(config, state, read, place); });
+    retry_on_system_error(config.limits.startup_wait, [&] { relay.emplace(config, state, read, place); });
     relay->run();
     return 0;
   } catch (const fennellane::ConfigError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
-    return kBadConfig;
+    return kBadConfigExitCode;
   } catch (const fennellane::ListenError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
-    return kNoListener;
+    return kNoListenerExitCode;
   }
 }
 
-int check(const std::string& config_path, const std::string& settings_path) {
+int check_config(const std::string& config_path, const std::string& settings_path) {
   try {
     const fennellane::Config config = fennellane::read_config(config_path, settings_path);
     const char* const source = config.source == fennellane::MembershipSource::consul ? "Consul"
                                : config.source == fennellane::MembershipSource::list ? "the settings"
                                                                                      : "the platform";
     std::printf("%s: %zu classes, hosts from %s, %zu known, %zu slots, %zu messages held at most\n",
-                config.name.c_str(), config.boot.classes.size(), source, config.known.hosts.size(),
-                config.boot.settings.slots, config.limits.held);
+                config.name.c_str(), config.boot.classes.size(), source, config.known_hosts.hosts.size(),
+                config.boot.settings.slots, config.limits.max_held);
     return 0;
   } catch (const fennellane::ConfigError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
-    return kBadConfig;
+    return kBadConfigExitCode;
   }
 }
 
 // Asks Consul something on behalf of the operators: `ask` gets the configuration, whose section fleet is
 // there, and a place for what went wrong, and returns false then.
 template <class Ask>
-int ask_fleet(const std::string& config_path, const std::string& settings_path, Ask ask) {
+int query_fleet(const std::string& config_path, const std::string& settings_path, Ask ask) {
   try {
     const fennellane::Config config = fennellane::read_config(config_path, settings_path);
     if (!config.fleet) throw fennellane::ConfigError("the settings have no section fleet");
@@ -174,11 +174,11 @@
     return 1;
   } catch (const fennellane::ConfigError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
-    return kBadConfig;
+    return kBadConfigExitCode;
   }
 }
 
-using fennellane::ReleaseOrder;
+using fennellane::ReleaseRequest;
 
 // The budget's subcommand: as it stands, or set anew.
 struct BudgetCommand {
@@ -189,7 +189,7 @@
     command =
         app.add_subcommand("budget", "show how many relays may be out at once and which are, or set it");
     add_config(command);
-    command->add_option("--most", cap.most, "relays; 0 leaves it out");
+    command->add_option("--most", cap.max_relays, "relays; 0 leaves it out");
     command->add_option("--per-zone", cap.per_zone, "relays of one zone; 0 leaves it out");
     command->add_option("--percent", cap.percent, "of the relays registered; 0 leaves it out")
         ->check(CLI::Range(0, 100));
@@ -198,7 +198,7 @@
     std::optional<fennellane::drain::Cap> wanted;
     for (const char* option : {"--most", "--per-zone", "--percent"})
       if (command->count(option) > 0) wanted = cap;
-    return ask_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
+    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
       if (wanted && wanted == fennellane::drain::Cap{0, 0, 0}) {
         trouble = "at least one bound is needed";
         return false;
@@ -211,47 +211,49 @@
 // The subcommand of staged releases.
 struct ReleaseCommand {
   CLI::App* command = nullptr;
-  ReleaseOrder order;
+  ReleaseRequest request;
   bool stay = false;
 
   void add(CLI::App& app, const std::function<void(CLI::App*)>& add_config) {
     command = app.add_subcommand("release",
                                  "take a new build through the fleet in waves, halt it, or take it back");
     command->require_subcommand(1);
-    const auto one = [&](const char* name, const char* help, ReleaseOrder::What what) {
+    const auto one = [&](const char* name, const char* help, ReleaseRequest::Action what) {
       CLI::App* sub = command->add_subcommand(name, help);
       add_config(sub);
-      sub->callback([this, what] { order.what = what; });
+      sub->callback([this, what] { request.action = what; });
       return sub;
     };
-    one("status", "which wave it is at, and what the relays report", ReleaseOrder::What::status);
-    one("halt", "no further relay moves", ReleaseOrder::What::halt);
-    one("resume", "a halted release goes on", ReleaseOrder::What::resume);
-    one("back", "those that have moved return to the build before", ReleaseOrder::What::back);
-    CLI::App* start = one("start", "begin", ReleaseOrder::What::start);
-    start->add_option("--from", order.from, "the build that runs, by its name in the folder of builds")
+    one("status", "which wave it is at, and what the relays report", ReleaseRequest::Action::status);
+    one("halt", "no further relay moves", ReleaseRequest::Action::halt);
+    one("resume", "a halted release goes on", ReleaseRequest::Action::resume);
+    one("back", "those that have moved return to the build before", ReleaseRequest::Action::back);
+    CLI::App* start = one("start", "begin", ReleaseRequest::Action::start);
+    start->add_option("--from", request.from, "the build that runs, by its name in the folder of builds")
         ->required();
-    start->add_option("--to", order.to, "the new one")->required();
-    order.steps = {"1", "10%", "30%", "100%"};
-    start->add_option("--waves", order.steps, "how far each wave goes, as counts or shares; the last is 100%")
+    start->add_option("--to", request.to, "the new one")->required();
+    request.steps = {"1", "10%", "30%", "100%"};
+    start
+        ->add_option("--waves", request.steps,
+                     "how far each wave goes, as counts or shares; the last is 100%")
         ->delimiter(',')
         ->capture_default_str();
     start->add_flag("--stay", stay, "a breach of health only halts, and nothing returns by itself");
   }
   int run(const std::string& config, const std::string& settings) {
-    order.auto_back = !stay;
-    return ask_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
-      return fennellane::order_release(*c.consul, *c.fleet, c.limits, order, std::cout, trouble);
+    request.auto_back = !stay;
+    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
+      return fennellane::run_release_command(*c.consul, *c.fleet, c.limits, request, std::cout, trouble);
     });
   }
 };
 
-struct WhyQuestion {
+struct WhyOptions {
   std::string id, file, ended;
-  std::size_t seconds = 60, most = 20;
+  std::size_t seconds = 60, max_listed = 20;
   bool raw = false;
 };
-int why(const std::string& state, const WhyQuestion& question) {
+int explain(const std::string& state, const WhyOptions& question) {
   namespace record = fennellane::record;
   try {
     const record::Contents contents =
@@ -262,7 +264,7 @@
     }
     const record::Account account(contents);
     if (!question.ended.empty()) {
-      record::print_lives(account, kEndings.at(question.ended), question.most, std::cout);
+      record::print_lives(account, kFateNames.at(question.ended), question.max_listed, std::cout);
       return 0;
     }
     if (question.id.empty()) {
@@ -278,7 +280,7 @@
   return 1;
 }
 
-int count_fleet(const std::vector<std::string>& files, const std::vector<std::uint32_t>& destinations) {
+int summarize_fleet(const std::vector<std::string>& files, const std::vector<std::uint32_t>& destinations) {
   namespace record = fennellane::record;
   try {
     record::FleetAccount account;
@@ -334,15 +336,15 @@
       ->capture_default_str();
   CLI::App* why_command = app.add_subcommand(
       "why", "say from the flight record how messages ended and why, or why one of them did");
-  WhyQuestion question;
+  WhyOptions question;
   why_command->add_option("id", question.id, "a message's X-Call-Id; none: a summary");
   CLI::Option* state_option =
       why_command->add_option("--state", state, "the relay's state folder")->envname("GW_STATE");
   why_command->add_option("--file", question.file, "the record itself, where it lies elsewhere")
       ->excludes(state_option);
   why_command->add_option("--ended", question.ended, "list the messages that ended so")
-      ->check(CLI::IsMember(kEndings));
-  why_command->add_option("--most", question.most, "messages listed")->capture_default_str();
+      ->check(CLI::IsMember(kFateNames));
+  why_command->add_option("--most", question.max_listed, "messages listed")->capture_default_str();
   why_command->add_option("--seconds", question.seconds, "seconds shown, the newest")->capture_default_str();
   why_command->add_flag("--raw", question.raw, "every note, a line each");
   CLI::App* fleet_command = app.add_subcommand(
@@ -360,25 +362,25 @@
       std::printf("fennellane %s\n", FENNELLANE_VERSION);
       return 0;
     }
-    if (fleet_command->parsed()) return count_fleet(records, destinations);
-    if (why_command->parsed()) return why(state, question);
+    if (fleet_command->parsed()) return summarize_fleet(records, destinations);
+    if (why_command->parsed()) return explain(state, question);
     if (owners_command->parsed()) {
-      return ask_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
+      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
         return fennellane::print_owners(*c.consul, *c.fleet, c.limits, std::cout, trouble);
       });
     }
     if (ejections_command->parsed()) {
-      return ask_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
+      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
         return fennellane::show_ejections(*c.consul, *c.fleet, c.limits, std::cout, trouble);
       });
     }
     if (budget.command->parsed()) return budget.run(config, settings);
     if (release.command->parsed()) return release.run(config, settings);
     if (upgrade_command->parsed()) {
-      return fennellane::upgrade::ask_for_upgrade(state, std::chrono::seconds(wait_s));
+      return fennellane::upgrade::request_upgrade(state, std::chrono::seconds(wait_s));
     }
     return check_command->parsed()
-               ? check(config, settings)
+               ? check_config(config, settings)
                : serve(config, settings, state, fennellane::upgrade::command_line(argc, argv));
   } catch (const std::exception& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
--- a/src/membership/damping.hpp
+++ b/src/membership/damping.hpp
@@ -12,17 +12,17 @@
   double suppress = 3;  // at so much a return waits
   double reuse = 1.5;   // until it has come down to this
   Time half_life = std::chrono::seconds(15);
-  Time most = std::chrono::seconds(60);  // that a return may wait
+  Time max_wait = std::chrono::seconds(60);  // that a return may wait
   bool operator==(const DampingSettings&) const = default;
 };
 
 class Damping {
  public:
-  void went(Time now, const DampingSettings& settings);
+  void record_departure(Time now, const DampingSettings& settings);
   // When a host that may come back now is to take work: `now`, or later.
-  Time back_at(Time now, const DampingSettings& settings) const;
+  Time return_time(Time now, const DampingSettings& settings) const;
   // Whether the count has come down so far that nothing is to be remembered.
-  bool idle(Time now, const DampingSettings& settings) const { return count(now, settings) < 0.5; }
+  bool decayed(Time now, const DampingSettings& settings) const { return count(now, settings) < 0.5; }
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,17 +8,17 @@
 
 using starlinghook::Condition;
 
-constexpr std::size_t kMostGoneBefore = 4096;
-constexpr std::size_t kMostLines = 4;  // of one change
+constexpr std::size_t kMaxDepartedHosts = 4096;
+constexpr std::size_t kMaxLogLines = 4;  // of one change
 
 double weight_of(const Instance& i) {
   return i.health == HostHealth::passing   ? i.weight_passing
          : i.health == HostHealth::warning ? i.weight_warning
                                            : 0;
 }
-bool takes_work(const Instance& i) { return weight_of(i) > 0; }
+bool accepts_work(const Instance& i) { return weight_of(i) > 0; }
 
-bool same(const HostEntry& a, const HostEntry& b) {
+bool same_entry(const HostEntry& a, const HostEntry& b) {
   return a.condition == b.condition && a.rate == b.rate && a.address == b.address && a.zone == b.zone &&
          a.kind == b.kind;
 }
@@ -26,7 +26,8 @@
 }  // namespace
 
 Membership::Membership(const MembershipSettings& settings) : settings_(settings) {
-  for (std::uint32_t service = 0; service < settings.services; ++service) unanswered_.insert(service);
+  for (std::uint32_t service = 0; service < settings.services; ++service)
+    unanswered_services_.insert(service);
 }
 
 void Membership::restore(std::uint32_t service, const Instance& instance) {
@@ -35,52 +36,52 @@
   if (!added) return;
   Host& host = it->second;
   host.service = service;
-  host.told = instance;
+  host.reported = instance;
   std::vector<Host*>& siblings = destinations_[instance.destination];
   siblings.push_back(&host);
   const double rate = rate_of(siblings);
   for (Host* h : siblings) h->listed = entry_of(*h, rate);
 }
 
-Time Membership::next() const {
+Time Membership::next_due() const {
   Time first = Time::max();
-  for (const auto& [id, due] : waiting_) first = std::min(first, due);
+  for (const auto& [id, due] : due_times_) first = std::min(first, due);
   return first;
 }
 
 // A host told again after it had been lost is simply there again.
-void Membership::take_one(Time now, std::uint32_t service, const Instance& instance) {
+void Membership::apply_instance(Time now, std::uint32_t service, const Instance& instance) {
   auto it = hosts_.find(instance.id);
   if (!instance.usable) {
     // Guards a host against a registration that has become unreadable: it stays as it was last told, but for
     // its health.
     if (it == hosts_.end()) return;
-    Instance as_before = it->second.told;
+    Instance as_before = it->second.reported;
     as_before.health = instance.health;
-    return take_one(now, service, as_before);
+    return apply_instance(now, service, as_before);
   }
-  if (it != hosts_.end() && it->second.told.destination != instance.destination) {
+  if (it != hosts_.end() && it->second.reported.destination != instance.destination) {
     remove(now, it);  // to the relay it is another host
     it = hosts_.end();
   }
   const bool added = it == hosts_.end();
   if (added) {
     it = hosts_.emplace(instance.id, Host{}).first;
-    if (const auto before = gone_before_.extract(instance.id)) it->second.damping = before.mapped();
+    if (const auto before = departed_.extract(instance.id)) it->second.damping = before.mapped();
     destinations_[instance.destination].push_back(&it->second);
   }
   Host& host = it->second;
-  const bool worked = !added && takes_work(host.told);
+  const bool worked = !added && accepts_work(host.reported);
   host.service = service;
-  host.told = instance;
+  host.reported = instance;
   host.lost_at.reset();
-  waiting_.erase(instance.id);
-  if (worked && !takes_work(instance)) host.damping.went(now, settings_.damping);
-  const Time back = host.damping.back_at(now, settings_.damping);
-  if (!takes_work(instance)) host.suppressed = false;
-  if (takes_work(instance) && !worked) host.suppressed = back > now;
-  if (host.suppressed) waiting_[instance.id] = back;
-  touch(host);
+  due_times_.erase(instance.id);
+  if (worked && !accepts_work(instance)) host.damping.record_departure(now, settings_.damping);
+  const Time back = host.damping.return_time(now, settings_.damping);
+  if (!accepts_work(instance)) host.suppressed = false;
+  if (accepts_work(instance) && !worked) host.suppressed = back > now;
+  if (host.suppressed) due_times_[instance.id] = back;
+  mark_changed(host);
 }
 
 void Membership::unlist(Host& host) {
@@ -92,25 +93,25 @@
 
 void Membership::remove(Time now, Hosts::iterator it) {
   Host& host = it->second;
-  touch(host);
+  mark_changed(host);
   unlist(host);
-  if (takes_work(host.told)) host.damping.went(now, settings_.damping);
-  if (!host.damping.idle(now, settings_.damping)) {
+  if (accepts_work(host.reported)) host.damping.record_departure(now, settings_.damping);
+  if (!host.damping.decayed(now, settings_.damping)) {
     // Guards the memory against hosts that come once and never again.
-    if (gone_before_.size() >= kMostGoneBefore) {
-      std::erase_if(gone_before_, [&](const auto& g) { return g.second.idle(now, settings_.damping); });
+    if (departed_.size() >= kMaxDepartedHosts) {
+      std::erase_if(departed_, [&](const auto& g) { return g.second.decayed(now, settings_.damping); });
     }
-    if (gone_before_.size() < kMostGoneBefore) gone_before_[it->first] = host.damping;
+    if (departed_.size() < kMaxDepartedHosts) departed_[it->first] = host.damping;
   }
-  const auto siblings = destinations_.find(host.told.destination);
+  const auto siblings = destinations_.find(host.reported.destination);
   std::erase(siblings->second, &host);
   if (siblings->second.empty()) destinations_.erase(siblings);
-  waiting_.erase(it->first);
+  due_times_.erase(it->first);
   hosts_.erase(it);
 }
 
 // What the answer no longer names.
-void Membership::lose(Time now, const ServiceAnswer& answer, MembershipChange& change) {
+void Membership::handle_missing(Time now, const ServiceAnswer& answer, MembershipChange& change) {
   std::vector<Hosts::iterator> missing;
   if (answer.whole) {
     std::unordered_set<std::string> named;
@@ -119,11 +120,11 @@
       if (it->second.service == answer.service && !named.contains(it->first)) missing.push_back(it);
     }
   } else {
-    for (const std::string& id : answer.gone) {
+    for (const std::string& id : answer.removed) {
       const auto it = hosts_.find(id);
       if (it != hosts_.end() && it->second.service == answer.service) missing.push_back(it);
     }
-    for (const auto& [id, due] : waiting_) {
+    for (const auto& [id, due] : due_times_) {
       const auto it = hosts_.find(id);
       if (it->second.lost_at && it->second.service == answer.service) missing.push_back(it);
     }
@@ -134,17 +135,18 @@
   for (const auto it : missing) {
     Host& host = it->second;
     if (!seen.insert(&host).second) continue;
-    const bool said_twice = host.lost_at && *host.lost_at < now && answer.leader && answer.fresh;
-    if (said_twice || !takes_work(host.told) || host.suppressed) {
+    const bool said_twice =
+        host.lost_at && *host.lost_at < now && answer.leader_in_contact && answer.from_leader;
+    if (said_twice || !accepts_work(host.reported) || host.suppressed) {
       gone.push_back(it);
     } else {
-      losses[host.told.destination].push_back(it);
+      losses[host.reported.destination].push_back(it);
     }
   }
   std::size_t held = 0;
   for (const auto& [destination, lost] : losses) {
     const auto all = static_cast<double>(destinations_.at(destination).size());
-    if (static_cast<double>(lost.size()) <= settings_.most_loss * all) {
+    if (static_cast<double>(lost.size()) <= settings_.max_loss_share * all) {
       gone.insert(gone.end(), lost.begin(), lost.end());
       continue;
     }
@@ -152,34 +154,35 @@
       Host& host = it->second;
       if (host.lost_at) continue;
       host.lost_at = now;
-      waiting_[it->first] = now + settings_.loss_hold;
+      due_times_[it->first] = now + settings_.loss_hold;
       ++held;
     }
-    change.ask_again = true;
+    change.query_again = true;
   }
   for (const auto it : gone) remove(now, it);
   if (held > 0) {
-    change.lines.push_back(std::to_string(held) + " hosts of " + std::to_string(losses.size()) +
-                           " destinations are no longer named and had not drained; they stay until that is "
-                           "said once more by the leader, or for " +
-                           std::to_string(settings_.loss_hold.count() / 1000) + " ms");
+    change.log_lines.push_back(
+        std::to_string(held) + " hosts of " + std::to_string(losses.size()) +
+        " destinations are no longer named and had not drained; they stay until that is "
+        "said once more by the leader, or for " +
+        std::to_string(settings_.loss_hold.count() / 1000) + " ms");
   }
 }
 
-MembershipChange Membership::take(Time now, const ServiceAnswer& answer) {
+MembershipChange Membership::apply(Time now, const ServiceAnswer& answer) {
   MembershipChange change;
-  for (const Instance& instance : answer.changed) take_one(now, answer.service, instance);
-  lose(now, answer, change);
-  unanswered_.erase(answer.service);
-  const bool first_whole = unanswered_.empty() && !told_whole_;
-  told_whole_ = told_whole_ || first_whole;
-  return finish(std::move(change), first_whole);
+  for (const Instance& instance : answer.changed) apply_instance(now, answer.service, instance);
+  handle_missing(now, answer, change);
+  unanswered_services_.erase(answer.service);
+  const bool first_whole = unanswered_services_.empty() && !full_list_sent_;
+  full_list_sent_ = full_list_sent_ || first_whole;
+  return collect_changes(std::move(change), first_whole);
 }
 
 MembershipChange Membership::tick(Time now) {
   MembershipChange change;
   std::vector<std::string> due;
-  for (const auto& [id, at] : waiting_) {
+  for (const auto& [id, at] : due_times_) {
     if (at <= now) due.push_back(id);
   }
   std::size_t believed = 0;
@@ -190,25 +193,26 @@
       remove(now, it);
     } else {
       it->second.suppressed = false;
-      waiting_.erase(id);
-      touch(it->second);
+      due_times_.erase(id);
+      mark_changed(it->second);
     }
   }
   if (believed > 0) {
-    change.lines.push_back(std::to_string(believed) + " hosts were not named again in time: they are gone");
+    change.log_lines.push_back(std::to_string(believed) +
+                               " hosts were not named again in time: they are gone");
   }
-  return finish(std::move(change), false);
+  return collect_changes(std::move(change), false);
 }
 
 // Calls a second of a destination, from what its hosts tell.
 double Membership::rate_of(const std::vector<Host*>& hosts) const {
   double sum = 0, highest = 0, weight = 0, full_weight = 0;
   for (const Host* host : hosts) {
-    if (!takes_work(host->told) || host->suppressed) continue;
-    sum += host->told.rate * weight_of(host->told);
-    highest = std::max(highest, host->told.rate);
-    weight += weight_of(host->told);
-    full_weight += std::max(host->told.weight_passing, weight_of(host->told));
+    if (!accepts_work(host->reported) || host->suppressed) continue;
+    sum += host->reported.rate * weight_of(host->reported);
+    highest = std::max(highest, host->reported.rate);
+    weight += weight_of(host->reported);
+    full_weight += std::max(host->reported.weight_passing, weight_of(host->reported));
   }
   if (settings_.rate_of == RateOf::host) return sum;
   return full_weight > 0 ? highest * weight / full_weight : 0;
@@ -216,31 +220,31 @@
 
 HostEntry Membership::entry_of(const Host& host, double rate) const {
   HostEntry entry;
-  entry.id = host.told.id + "@" + std::to_string(host.told.destination);
-  entry.address = host.told.address;
-  entry.zone = host.told.zone;
-  entry.kind = host.told.kind;
-  entry.destination = host.told.destination;
-  const bool ready = takes_work(host.told) && !host.suppressed;
+  entry.id = host.reported.id + "@" + std::to_string(host.reported.destination);
+  entry.address = host.reported.address;
+  entry.zone = host.reported.zone;
+  entry.kind = host.reported.kind;
+  entry.destination = host.reported.destination;
+  const bool ready = accepts_work(host.reported) && !host.suppressed;
   entry.condition = ready ? Condition::ready : Condition::draining;
   entry.rate = ready ? rate : 0;
   return entry;
 }
 
-MembershipChange Membership::finish(MembershipChange change, bool whole) {
-  for (const std::uint32_t destination : touched_) {
+MembershipChange Membership::collect_changes(MembershipChange change, bool whole) {
+  for (const std::uint32_t destination : changed_destinations_) {
     const auto it = destinations_.find(destination);
     if (it == destinations_.end()) continue;
     const double rate = rate_of(it->second);
     for (Host* host : it->second) {
       HostEntry entry = entry_of(*host, rate);
-      if (host->listed && same(*host->listed, entry)) continue;
+      if (host->listed && same_entry(*host->listed, entry)) continue;
       changes_.push_back(entry);
       host->listed = std::move(entry);
     }
   }
-  touched_.clear();
-  if (change.lines.size() > kMostLines) change.lines.resize(kMostLines);
+  changed_destinations_.clear();
+  if (change.log_lines.size() > kMaxLogLines) change.log_lines.resize(kMaxLogLines);
   if (whole) {
     change.list = whole_list();
   } else if (!changes_.empty()) {
@@ -257,7 +261,7 @@
 
 HostList Membership::whole_list() const {
   HostList list;
-  list.whole = true;
+  list.full = true;
   for (const auto& [id, host] : hosts_) {
     if (host.listed) list.hosts.push_back(*host.listed);
   }
@@ -266,8 +270,8 @@
   return list;
 }
 
-MembershipFigures Membership::figures() const {
-  MembershipFigures f;
+MembershipStats Membership::stats() const {
+  MembershipStats f;
   f.hosts = hosts_.size();
   for (const auto& [id, host] : hosts_) {
     f.draining += host.listed && host.listed->condition == Condition::draining ? 1 : 0;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -44,10 +44,11 @@
 struct ServiceAnswer {
   std::uint32_t service = 0;  // its position in the settings
   bool whole = false;         // `changed` names all there are; else `gone` says what is missing now
-  bool leader = true;         // the catalogue knows a leader, and the answering server is in touch with it
-  bool fresh = true;          // by the leader itself, not by any server
+  bool leader_in_contact =
+      true;                 // the catalogue knows a leader, and the answering server is in touch with it
+  bool from_leader = true;  // by the leader itself, not by any server
   std::vector<Instance> changed;
-  std::vector<std::string> gone;  // ids
+  std::vector<std::string> removed;  // ids
 };
 
 enum class RateOf { destination, host };
@@ -55,19 +56,19 @@
 struct MembershipSettings {
   std::uint32_t services = 1;
   RateOf rate_of = RateOf::destination;
-  double most_loss = 0.5;  // share of a destination's hosts
+  double max_loss_share = 0.5;  // share of a destination's hosts
   Time loss_hold = std::chrono::seconds(60);
   DampingSettings damping;
   bool operator==(const MembershipSettings&) const = default;
 };
 
 struct MembershipChange {
-  std::optional<HostList> list;    // with changes only, or whole
-  bool ask_again = false;          // the same answer is wanted once more, at once and from the leader
-  std::vector<std::string> lines;  // for the log, a few at most
+  std::optional<HostList> list;        // with changes only, or whole
+  bool query_again = false;            // the same answer is wanted once more, at once and from the leader
+  std::vector<std::string> log_lines;  // for the log, a few at most
 };
 
-struct MembershipFigures {
+struct MembershipStats {
   std::uint64_t hosts = 0;       // named by the list
   std::uint64_t draining = 0;    // of these, take no new work
   std::uint64_t suppressed = 0;  // of these, passing, and held back as they came and went
@@ -82,31 +83,31 @@
   void restore(std::uint32_t service, const Instance& instance);
 
   // An answer. The list is whole once, when each service has been answered.
-  MembershipChange take(Time now, const ServiceAnswer& answer);
+  MembershipChange apply(Time now, const ServiceAnswer& answer);
   // A moment at which something may be due.
   MembershipChange tick(Time now);
   // The next such moment, or Time::max().
-  Time next() const;
+  Time next_due() const;
 
   HostList whole_list() const;
-  bool complete() const { return unanswered_.empty(); }
-  MembershipFigures figures() const;
+  bool complete() const { return unanswered_services_.empty(); }
+  MembershipStats stats() const;
   // What `restore` takes.
   template <class Take>
-  void each_instance(Take take) const {
-    for (const auto& [id, host] : hosts_) take(host.service, host.told);
+  void for_each_instance(Take take) const {
+    for (const auto& [id, host] : hosts_) take(host.service, host.reported);
   }
   // All of it, as bytes, for another process with the same settings.
   std::string save();
   void load(std::string_view bytes);  // before anything else; throws starlinghook::MemoryError
 
   // All that is remembered.
-  std::size_t records() const { return hosts_.size() + gone_before_.size(); }
+  std::size_t record_count() const { return hosts_.size() + departed_.size(); }
 
  private:
   struct Host {
     std::uint32_t service = 0;
-    Instance told;
+    Instance reported;
     Damping damping;
     bool suppressed = false;
     std::optional<Time> lost_at;  // no longer named, and not believed yet
@@ -117,12 +118,12 @@
   using Hosts = std::unordered_map<std::string, Host>;
 
   template <class Archive>
-  void remember(Archive& archive);
-  void take_one(Time now, std::uint32_t service, const Instance& instance);
-  void lose(Time now, const ServiceAnswer& answer, MembershipChange& change);
+  void serialize_state(Archive& archive);
+  void apply_instance(Time now, std::uint32_t service, const Instance& instance);
+  void handle_missing(Time now, const ServiceAnswer& answer, MembershipChange& change);
   void remove(Time now, Hosts::iterator it);
-  void touch(const Host& host) { touched_.insert(host.told.destination); }
-  MembershipChange finish(MembershipChange change, bool whole);
+  void mark_changed(const Host& host) { changed_destinations_.insert(host.reported.destination); }
+  MembershipChange collect_changes(MembershipChange change, bool whole);
   HostEntry entry_of(const Host& host, double rate) const;
   double rate_of(const std::vector<Host*>& hosts) const;
   void unlist(Host& host);
@@ -131,12 +132,12 @@
   Hosts hosts_;
   std::map<std::uint32_t, std::vector<Host*>> destinations_;
   // Hosts that are gone and may come back too soon; bounded.
-  std::unordered_map<std::string, Damping> gone_before_;
-  std::set<std::uint32_t> unanswered_;
-  bool told_whole_ = false;
-  std::set<std::uint32_t> touched_;  // destinations that the present input concerns
+  std::unordered_map<std::string, Damping> departed_;
+  std::set<std::uint32_t> unanswered_services_;
+  bool full_list_sent_ = false;
+  std::set<std::uint32_t> changed_destinations_;  // destinations that the present input concerns
   std::vector<HostEntry> changes_;
-  std::map<std::string, Time> waiting_;  // hosts that are suppressed or lost, and when they are due
+  std::map<std::string, Time> due_times_;  // hosts that are suppressed or lost, and when they are due
 };
 
 }  // namespace fennellane
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -6,13 +6,13 @@
 #include <asio/use_awaitable.hpp>
 #include <utility>
 
-#include "memory.hpp"
+#include "snapshot.hpp"
 
 namespace fennellane {
 
-void JsonObjectText::clear() { *this = {}; }
+void JsonObjectAssembler::clear() { *this = {}; }
 
-void JsonObjectText::add(std::string_view line) {
+void JsonObjectAssembler::add(std::string_view line) {
   text_ += line;
   for (const char c : line) {
     if (std::exchange(escaped_, false)) continue;
@@ -35,29 +35,29 @@
 
 // An object may be indented, and so go over several lines. Guards against half an object swallowing those
 // that come behind it: a beat, or a line that begins an object at its very start, cannot be a part of it.
-bool Discovery::take_line(std::string_view line) {
-  const bool within = !object_.text().empty();
+bool Discovery::process_line(std::string_view line) {
+  const bool within = !partial_object_.text().empty();
   if (is_blank(line)) return !within;
   if (within && line.front() == '{') return false;
-  object_.add(line);
-  if (!object_.whole()) return true;
-  const bool good = take(object_.text());
-  object_.clear();
+  partial_object_.add(line);
+  if (!partial_object_.is_complete()) return true;
+  const bool good = process_list(partial_object_.text());
+  partial_object_.clear();
   return good;
 }
 
 Discovery::Discovery(asio::io_context& io, const Config& config, const Address& address, Counters& counters,
-                     Log& log, OnList on_list)
+                     Log& log, OnHostList on_list)
     : io_(io),
       config_(config),
       counters_(counters),
       log_(log),
       on_list_(std::move(on_list)),
       address_(address),
-      client_(io, address_, config.limits, config.limits.discovery_line),
-      pause_(io),
-      retry_(config.limits.discovery_backoff_least, config.limits.discovery_backoff_most, config.seed) {
-  client_.report_strays(counters.agent_strays, log);
+      client_(io, address_, config.limits, config.limits.max_discovery_line),
+      retry_timer_(io),
+      retry_(config.limits.discovery_backoff_min, config.limits.discovery_backoff_max, config.seed) {
+  client_.enable_stray_reporting(counters.agent_strays, log);
 }
 
 void Discovery::start() {
@@ -68,10 +68,10 @@
 void Discovery::stop() {
   stopped_ = true;
   client_.close();
-  pause_.cancel();
+  retry_timer_.cancel();
 }
 
-void Discovery::know(std::uint64_t version) {
+void Discovery::set_known_version(std::uint64_t version) {
   version_ = version;
   have_list_ = true;
 }
@@ -83,14 +83,14 @@
   redirected_ = true;
   retry_.reset();  // the pause that the old address's outage had earned is not the new one's
   client_.redirect(address);
-  pause_.cancel();
+  retry_timer_.cancel();
 }
 
 std::string Discovery::save() const {
-  return written_memory([this](MemoryWriter& archive) { archive(address_, version_, have_list_); });
+  return write_snapshot([this](SnapshotWriter& archive) { archive(address_, version_, have_list_); });
 }
 void Discovery::load(std::string_view bytes) {
-  read_memory(bytes, "the watch", [this](MemoryReader& archive) {
+  read_snapshot(bytes, "the watch", [this](SnapshotReader& archive) {
     Address address;
     std::uint64_t version = 0;
     bool have_list = false;
@@ -101,26 +101,26 @@
   });
 }
 
-std::string Discovery::request(const std::string& target) const {
+std::string Discovery::format_request(const std::string& target) const {
   return "GET " + target + " HTTP/1.1\r\nHost: " + address_.text() + "\r\n\r\n";
 }
 
 // Guards against a line that cannot be read, or out of its place: it is logged and the connection dropped,
 // and the next watch brings what it said.
-bool Discovery::take(std::string_view json) {
+bool Discovery::process_list(std::string_view json) {
   try {
     HostList list = parse_hosts(json, config_.boot);
-    if (!list.whole && !have_list_) throw ConfigError("changes came before a whole list");
+    if (!list.full && !have_list_) throw ConfigError("changes came before a whole list");
     // Guards against a line that comes once more undoing those behind it. Only the first one of a watch may
     // go back, with a whole list, as from a discovery that has begun anew.
-    if (list.version < version_ && have_list_ && (lines_ > 0 || !list.whole)) {
+    if (list.version < version_ && have_list_ && (lists_received_ > 0 || !list.full)) {
       throw ConfigError("version " + std::to_string(list.version) + " came behind version " +
                         std::to_string(version_));
     }
-    ++lines_;
+    ++lists_received_;
     version_ = list.version;
     have_list_ = true;
-    ++counters_.lists;
+    ++counters_.host_lists;
     if (!stopped_) on_list_(std::move(list), false);
     return true;
   } catch (const ConfigError& e) {
@@ -129,42 +129,45 @@
   }
 }
 
-asio::awaitable<bool> Discovery::fetch() {
+asio::awaitable<bool> Discovery::fetch_list() {
   const Limits& limits = config_.limits;
-  const bool sent = co_await client_.send(request("/discovery/hosts"), limits.discovery_answer);
+  const bool sent =
+      co_await client_.send(format_request("/discovery/hosts"), limits.discovery_answer_timeout);
   if (!sent) co_return false;
-  const bool answered = co_await client_.read_answer(limits.discovery_answer, limits.discovery_list);
+  const bool answered =
+      co_await client_.read_answer(limits.discovery_answer_timeout, limits.discovery_list_timeout);
   if (!answered) co_return false;
   if (client_.answer().status() != 200) co_return false;
-  lines_ = 0;
-  co_return take(client_.answer().take_body());
+  lists_received_ = 0;
+  co_return process_list(client_.answer().take_body());
 }
 
-asio::awaitable<bool> Discovery::watch() {
+asio::awaitable<bool> Discovery::watch_changes() {
   const Limits& limits = config_.limits;
   const std::string target = "/discovery/hosts?watch=1&after=" + std::to_string(version_);
-  const bool sent = co_await client_.send(request(target), limits.discovery_answer);
+  const bool sent = co_await client_.send(format_request(target), limits.discovery_answer_timeout);
   if (!sent) co_return false;
   std::string text;
-  object_.clear();
-  lines_ = 0;
+  partial_object_.clear();
+  lists_received_ = 0;
   bool any = false;
   while (!client_.answer().done()) {
     // The beginning of the answer comes at once, or the connection is of no use.
     const bool begun = client_.answer().head_done();
-    const bool good = co_await client_.read(begun ? limits.discovery_silence : limits.discovery_answer);
+    const bool good =
+        co_await client_.read(begun ? limits.discovery_silence_timeout : limits.discovery_answer_timeout);
     if (!good) co_return any;
     if (client_.answer().head_done() && client_.answer().status() != 200) co_return false;
-    if (client_.answer().head_done() && on_heard_ && !stopped_) on_heard_();
+    if (client_.answer().head_done() && on_activity_ && !stopped_) on_activity_();
     text += client_.answer().take_body();
     std::size_t start = 0;
     for (std::size_t end; (end = text.find('\n', start)) != std::string::npos; start = end + 1) {
       const std::string_view line = std::string_view(text).substr(start, end - start);
-      if (!take_line(line)) co_return false;
+      if (!process_line(line)) co_return false;
       any = any || !is_blank(line);
     }
     text.erase(0, start);
-    if (text.size() + object_.text().size() > limits.discovery_line) co_return false;
+    if (text.size() + partial_object_.text().size() > limits.max_discovery_line) co_return false;
   }
   co_return any;
 }
@@ -174,19 +177,19 @@
   while (!stopped_) {
     ++counters_.discovery_connects;
     redirected_ = false;
-    bool good = co_await client_.connect(limits.discovery_connect);
+    bool good = co_await client_.connect(limits.discovery_connect_timeout);
     if (good && !have_list_) {
-      good = co_await fetch();
-      if (good && !client_.open()) good = co_await client_.connect(limits.discovery_connect);
+      good = co_await fetch_list();
+      if (good && !client_.open()) good = co_await client_.connect(limits.discovery_connect_timeout);
     }
-    if (good) good = co_await watch();
+    if (good) good = co_await watch_changes();
     client_.close();
     if (stopped_) break;
     if (good) retry_.reset();
     if (redirected_) continue;
-    pause_.expires_after(retry_.next());
+    retry_timer_.expires_after(retry_.next_delay());
     asio::error_code cut_short;
-    co_await pause_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
+    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
   }
 }
 
--- a/src/platform/whole_list.hpp
+++ b/src/platform/merged_host_list.hpp
@@ -8,11 +8,11 @@
 
 namespace fennellane {
 
-class WholeList {
+class MergedHostList {
  public:
-  void take(const HostList& list) {
-    if (list.whole) hosts_.clear();
-    known_ = known_ || list.whole;
+  void apply(const HostList& list) {
+    if (list.full) hosts_.clear();
+    has_full_list_ = has_full_list_ || list.full;
     version_ = list.version;
     for (const HostEntry& host : list.hosts) {
       if (host.condition == starlinghook::Condition::gone) {
@@ -23,11 +23,11 @@
     }
   }
   // Whether a whole list has been told at all: changes alone make none.
-  bool known() const { return known_; }
-  HostList whole() const {
+  bool has_full_list() const { return has_full_list_; }
+  HostList full_list() const {
     HostList list;
     list.version = version_;
-    list.whole = true;
+    list.full = true;
     for (const auto& [id, host] : hosts_) list.hosts.push_back(host);
     return list;
   }
@@ -35,7 +35,7 @@
  private:
   std::map<std::string, HostEntry> hosts_;
   std::uint64_t version_ = 0;
-  bool known_ = false;
+  bool has_full_list_ = false;
 };
 
 }  // namespace fennellane
--- a/src/platform/notices.hpp
+++ b/src/platform/notices.hpp
@@ -7,17 +7,17 @@
 #include <deque>
 #include <functional>
 
-#include "client.hpp"
+#include "http_client.hpp"
 #include "log.hpp"
 #include "reducer.hpp"
-#include "retry_pause.hpp"
+#include "retry_backoff.hpp"
 
 namespace fennellane {
 
 class Notices {
  public:
-  using OnTaken = std::function<void(StreamId)>;
-  Notices(asio::io_context& io, const Config& config, Counters& counters, Log& log, OnTaken on_taken);
+  using OnAccepted = std::function<void(StreamId)>;
+  Notices(asio::io_context& io, const Config& config, Counters& counters, Log& log, OnAccepted on_taken);
   void start();
   void post(const PostNotice& notice);
   void redirect(const Address& address);  // what is owed goes there from now on
@@ -35,29 +35,30 @@
     }
   };
   asio::awaitable<void> run();
-  std::size_t batch() const;                             // how many lines go next
-  asio::awaitable<unsigned> deliver(std::size_t count);  // the answer's status, or 0
+  std::size_t next_batch_size() const;                      // how many lines go next
+  asio::awaitable<unsigned> send_batch(std::size_t count);  // the answer's status, or 0
   // Whether these lines are owed no more.
-  bool is_settled(unsigned status, std::size_t count);
-  void forget(std::size_t count);
-  asio::awaitable<void> rest(unsigned status);  // after a try that failed
+  bool is_batch_done(unsigned status, std::size_t count);
+  void remove_lines(std::size_t count);
+  asio::awaitable<void> back_off(unsigned status);  // after a try that failed
 
   asio::io_context& io_;
   const Config& config_;
   Counters& counters_;
   Log& log_;
-  OnTaken on_taken_;
+  OnAccepted on_accepted_;
   Address address_;
-  Client client_;
-  asio::steady_timer wake_;   // something is owed
-  asio::steady_timer pause_;  // after a try that failed
-  RetryPause retry_;
-  Time answer_limit_;  // for each step of a try: longer after one that failed, as long as the platform needs
-  std::deque<Line> lines_;
-  std::size_t most_lines_ = SIZE_MAX;  // in one batch
-  bool redirected_ = false;            // since the newest try began
+  HttpClient client_;
+  asio::steady_timer wake_timer_;   // something is owed
+  asio::steady_timer retry_timer_;  // after a try that failed
+  RetryBackoff retry_;
+  Time
+      answer_timeout_;  // for each step of a try: longer after one that failed, as long as the platform needs
+  std::deque<Line> pending_lines_;
+  std::size_t max_batch_lines_ = SIZE_MAX;  // in one batch
+  bool redirected_ = false;                 // since the newest try began
 };
 
-std::string notice_line(const PostNotice& notice);
+std::string format_notice(const PostNotice& notice);
 
 }  // namespace fennellane
--- a/src/record/account.cpp
+++ b/src/record/account.cpp
@@ -53,29 +53,29 @@
 
 const char* admission_text(AdmissionOutcome admission) {
   switch (admission) {
-    case AdmissionOutcome::taken:
+    case AdmissionOutcome::accepted:
       return "taken on";
-    case AdmissionOutcome::repeated:
+    case AdmissionOutcome::duplicate:
       return "held already";
-    case AdmissionOutcome::full:
+    case AdmissionOutcome::held_limit:
       return "as many messages are held as may be";
-    case AdmissionOutcome::unnoticed:
+    case AdmissionOutcome::notice_limit:
       return "too many notices have not been taken";
     case AdmissionOutcome::journal_full:
       return "the journal is full";
-    case AdmissionOutcome::too_early:
+    case AdmissionOutcome::no_host_list:
       return "no list of hosts yet";
-    case AdmissionOutcome::unknown:
+    case AdmissionOutcome::unknown_destination:
       return "no such destination";
-    case AdmissionOutcome::left:
+    case AdmissionOutcome::client_gone:
       return "its client had gone";
     case AdmissionOutcome::malformed:
       return "malformed";
     case AdmissionOutcome::other:
       return "no message";
-    case AdmissionOutcome::shed:
+    case AdmissionOutcome::load_shed:
       return "turned away under pressure";
-    case AdmissionOutcome::storage:
+    case AdmissionOutcome::storage_failing:
       return "the journal cannot be written";
   }
   return "";
@@ -126,7 +126,7 @@
       ++s.no_place;
       return;
     case Kind::client: {
-      ++close_reasons_[bounded<CloseReason>(e.code, kCloseReasons)];
+      ++close_reasons_[bounded<CloseReason>(e.code, kCloseReasonCount)];
       asking_.erase(e.subject);
       return;
     }
@@ -147,14 +147,14 @@
       const auto it = asking_.find(e.subject);
       if (it == asking_.end()) return;  // malformed, or no message
       Life& life = lives_[it->second];
-      life.admission = bounded<AdmissionOutcome>(e.n[0], kAdmissionOutcomes);
+      life.admission = bounded<AdmissionOutcome>(e.n[0], kAdmissionOutcomeCount);
       life.waited_us = e.n[1];
       if (e.n[1] > kSlowToReadUs) ++s.accepted_late;
-      if (life.admission == AdmissionOutcome::taken) {
+      if (life.admission == AdmissionOutcome::accepted) {
         ++s.taken;
         life.stream = e.n[2];
         streams_[life.stream] = it->second;
-      } else if (life.admission != AdmissionOutcome::repeated) {
+      } else if (life.admission != AdmissionOutcome::duplicate) {
         ++s.refused;
       }
       asking_.erase(it);
@@ -180,7 +180,7 @@
       if (life.calls.empty()) return;
       CallSeen& call = life.calls.back();
       call.to = e.at;
-      call.outcome = bounded<Outcome>(e.code, kOutcomes);
+      call.outcome = bounded<Outcome>(e.code, kOutcomeCount);
       call.told_wait_ms = e.n[1];
       return;
     }
@@ -242,13 +242,13 @@
     switch (life.why) {
       case GiveUpReason::none:
         return Fate::lost_class;
-      case GiveUpReason::room:
+      case GiveUpReason::capacity:
         return Fate::made_room;
-      case GiveUpReason::time:
+      case GiveUpReason::deadline:
         return Fate::no_time;
       case GiveUpReason::attempts:
         return Fate::no_attempt;
-      case GiveUpReason::doubt:
+      case GiveUpReason::uncertain:
         return Fate::doubtful;
       case GiveUpReason::answered_late:
         return Fate::answered_late;
@@ -265,7 +265,7 @@
   }
   if (life.stream != 0) return Fate::held;
   if (!life.admission) return Fate::answered;
-  return *life.admission == AdmissionOutcome::repeated ? Fate::answered : Fate::refused_admission;
+  return *life.admission == AdmissionOutcome::duplicate ? Fate::answered : Fate::refused_admission;
 }
 
 std::map<Outcome, std::size_t> Account::outcomes(std::uint32_t destination, Moment from, Moment to) const {
--- a/src/record/fleet.cpp
+++ b/src/record/fleet.cpp
@@ -28,10 +28,10 @@
   if (outcome == Outcome::connect_failed) ++c.unconnected;
 }
 void count_given_up(FleetCount& c, std::uint32_t why) {
-  if (why == static_cast<std::uint32_t>(GiveUpReason::room)) ++c.room;
-  if (why == static_cast<std::uint32_t>(GiveUpReason::time)) ++c.time;
+  if (why == static_cast<std::uint32_t>(GiveUpReason::capacity)) ++c.room;
+  if (why == static_cast<std::uint32_t>(GiveUpReason::deadline)) ++c.time;
   if (why == static_cast<std::uint32_t>(GiveUpReason::attempts)) ++c.attempts;
-  if (why == static_cast<std::uint32_t>(GiveUpReason::doubt)) ++c.doubt;
+  if (why == static_cast<std::uint32_t>(GiveUpReason::uncertain)) ++c.doubt;
 }
 
 void print_header(std::ostream& out) {
@@ -82,7 +82,7 @@
       case Kind::answered: {
         const auto asked = asking.find(e.subject);
         if (asked == asking.end()) break;
-        if (e.n[0] == static_cast<std::uint32_t>(AdmissionOutcome::taken)) {
+        if (e.n[0] == static_cast<std::uint32_t>(AdmissionOutcome::accepted)) {
           streams[e.n[2]] = asked->second;
           both(asked->second, [](FleetCount& c) { ++c.taken; });
         }
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -41,14 +41,14 @@
 void Recorder::note(const Input& input) {
   if (!on()) return;
   const Overloaded each{
-      [this](const Restored& r) {
+      [this](const MessageRestored& r) {
         note(Kind::restored, r.stream, static_cast<std::uint16_t>(r.entry.message_class),
              {r.entry.tenant, r.entry.destination, ms32(r.time_left)}, r.entry.id);
       },
       [this](const CallEnded& c) {
         note(Kind::call_ended, c.stream, static_cast<std::uint16_t>(c.outcome),
-             {c.attempt, ms32(c.told_wait), ms32(c.idle + std::chrono::microseconds(999))});
-        if (c.over) note(Kind::ended, c.stream, static_cast<std::uint16_t>(End::withdrawn));
+             {c.attempt, ms32(c.retry_after), ms32(c.idle + std::chrono::microseconds(999))});
+        if (c.ended_elsewhere) note(Kind::ended, c.stream, static_cast<std::uint16_t>(End::withdrawn));
         if (c.outcome == starlinghook::Outcome::delivered) {
           note(Kind::ended, c.stream, static_cast<std::uint16_t>(End::delivered));
         }
@@ -61,8 +61,10 @@
                host.id);
         }
       },
-      [this](const NoticeTaken& n) { note(Kind::ended, n.stream, static_cast<std::uint16_t>(End::noticed)); },
-      [this](const StopAsked&) { note(Kind::signalled, 0, SIGTERM); },
+      [this](const NoticeAccepted& n) {
+        note(Kind::ended, n.stream, static_cast<std::uint16_t>(End::noticed));
+      },
+      [this](const StopRequested&) { note(Kind::signalled, 0, SIGTERM); },
       [](const auto&) {}};
   std::visit(each, input);
 }
@@ -75,7 +77,7 @@
                         },
                         [this](const RecordGivenUp& g) {
                           note(Kind::given_up, g.stream, static_cast<std::uint16_t>(g.verdict),
-                               {static_cast<std::uint32_t>(g.why), ms32(g.again)});
+                               {static_cast<std::uint32_t>(g.reason), ms32(g.retry_after)});
                         },
                         [](const auto&) {}};
   std::visit(each, effect);
--- a/src/record/report.cpp
+++ b/src/record/report.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::array<const char*, kOutcomes> kOutcomeTexts = {
+constexpr std::array<const char*, kOutcomeCount> kOutcomeTexts = {
     "error", "delivered", "turned away", "timed out", "could not connect", "reset", "cancelled", "not sent"};
 constexpr std::array<const char*, kStrayPlaces> kStrayPlaceTexts = {
     "before the connection's first call", "while the connection rested", "while the call was out",
@@ -25,7 +25,7 @@
                                                                           "for bytes that answer no call",
                                                                           "idle",
                                                                           "made way"};
-constexpr std::array<const char*, kCloseReasons> kCloseReasonTexts = {
+constexpr std::array<const char*, kCloseReasonCount> kCloseReasonTexts = {
     "by the client", "idle", "half a request", "answer unread", "made way", "after its last answer"};
 
 template <class... T>
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 // A request to a relay that has not read its journal yet.
-Answer refusal_before_start(const Offered& offer, Time again) {
-  return Answer{offer.reply, Reply::refused, again, AdmissionOutcome::storage, 0};
+SendAnswer refusal_before_start(const MessageSubmitted& offer, Time again) {
+  return SendAnswer{offer.request, AdmissionReply::refused, again, AdmissionOutcome::storage_failing, 0};
 }
 
 }  // namespace
 
 Relay::Relay(Config config, const std::string& state_folder, std::function<Config()> reread,
-             ProcessPlace place, Journal journal)
+             LaunchContext place, Journal journal)
     : config_(std::move(config)),
       reread_(std::move(reread)),
       state_folder_(state_folder),
@@ -35,27 +35,27 @@
       journal_(std::move(journal)),
       reducer_(config_.boot.settings, config_.limits, journal_.next_stream(), counters_),
       upstream_(io_, config_, counters_, log_, record_, [this](const CallEnded& ended) { input(ended); }),
-      notices_(io_, config_, counters_, log_, [this](StreamId stream) { input(NoticeTaken{stream}); }),
+      notices_(io_, config_, counters_, log_, [this](StreamId stream) { input(NoticeAccepted{stream}); }),
       downstream_(io_, config_, counters_, log_, record_,
-                  [this](Offered offer) {
+                  [this](MessageSubmitted offer) {
                     if (!storage_open_) {
                       ++counters_.refused;
-                      return downstream_.answer(refusal_before_start(offer, reducer_.refused_again()));
+                      return downstream_.answer(refusal_before_start(offer, reducer_.refusal_retry_after()));
                     }
                     offer.journal_has_room =
                         journal_.has_room(offer.id.size() + offer.idempotency_key.size(), offer.body->size());
                     input(offer);
                   }),
-      loop_watch_(io_, config_.limits.loop_look, config_.limits.loop_beat,
-                  [this](Time latest) { note_beat(latest); }),
+      loop_watch_(io_, config_.limits.loop_lag_check_interval, config_.limits.loop_lag_report_interval,
+                  [this](Time latest) { record_heartbeat(latest); }),
       timer_(io_),
       stop_timer_(io_),
       signals_(io_, {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2}),
       started_(steady_now()),
       storage_timer_(io_),
-      storage_retry_(config_.limits.storage_retry_least, config_.limits.storage_retry_most, config_.seed),
-      place_(std::move(place)),
-      old_timer_(io_) {
+      storage_retry_(config_.limits.storage_retry_min, config_.limits.storage_retry_max, config_.seed),
+      launch_context_(std::move(place)),
+      old_process_timer_(io_) {
   require_working_timers(io_);
 }
 
@@ -64,21 +64,21 @@
   std::signal(SIGXFSZ, SIG_IGN);  // nor a file that may not grow
   signals_.start([this](int number) { on_signal(number); });
   open_record();
-  if (adopted_) {
-    go_on();
+  if (took_over_) {
+    start_after_takeover();
   } else {
-    begin();
+    start_fresh();
   }
   io_.run();
-  answer_what_has_come();
+  answer_pending_requests();
   print_counters();
   if (upgrade_) upgrade::remove_run_file(state_folder_);
 }
 
 // Guards against ending a connection whose request has come and has not been answered, and the end against
 // clients that send without a pause: in the end nothing more is read.
-void Relay::answer_what_has_come() {
-  const Time most = config_.limits.stop_answers;
+void Relay::answer_pending_requests() {
+  const Time most = config_.limits.stop_answer_wait;
   io_.restart();
   if (poll_until_idle(io_, most)) return;
   downstream_.stop_reading();
@@ -86,46 +86,48 @@
 }
 
 // Listens at once, so that clients hear why they are refused while the journal cannot be read.
-void Relay::begin() {
+void Relay::start_fresh() {
   downstream_.listen();
   open_storage();
 }
 
 // What can only begin once the journal has been read.
-void Relay::serve() {
+void Relay::start_serving() {
   input(Started{journal_.next_stream()});
-  if (!config_.known.hosts.empty()) take_list(config_.known, config_.source != MembershipSource::list);
+  if (!config_.known_hosts.hosts.empty())
+    apply_list(config_.known_hosts, config_.source != MembershipSource::list);
   restore();
   join_fleet();
   // A list saved by an earlier life may be old, but is a list: during an outage of discovery it is the only
   // one.
-  if (!config_.known.hosts.empty()) set_ready();
-  if (config_.platform) notices_.start();
+  if (!config_.known_hosts.hosts.empty()) set_ready();
+  if (config_.has_platform) notices_.start();
   // Only at the start: after a reload the hosts that are held may be another source's.
-  if (config_.source == MembershipSource::platform && config_.known.whole && !config_.known.hosts.empty()) {
-    known_version_ = config_.known.version;
+  if (config_.source == MembershipSource::platform && config_.known_hosts.full &&
+      !config_.known_hosts.hosts.empty()) {
+    known_version_ = config_.known_hosts.version;
   }
-  take_source(config_);
-  upgrade();
-  if (std::exchange(reload_waits_, false)) reload();
+  apply_source(config_);
+  enable_upgrades();
+  if (std::exchange(reload_pending_, false)) reload();
 }
 
 void Relay::restore() {
-  if (journal_.cut_bytes() > 0)
-    log_("journal", "cut a torn tail of " + std::to_string(journal_.cut_bytes()) + " bytes");
+  if (journal_.truncated_bytes() > 0)
+    log_("journal", "cut a torn tail of " + std::to_string(journal_.truncated_bytes()) + " bytes");
   const auto held = journal_.held();  // a copy: replaying writes to it
   for (const auto& [stream, entry] : held) {
     // Read for each message: what those before it took must not be added to its time.
     const Time now = steady_now();
-    Restored restored{stream, entry};
+    MessageRestored restored{stream, entry};
     restored.time_left = std::max(Time(0), entry.deadline - now);
-    restored.out_age = std::max(Time(0), now - entry.out_since);
-    restored.doubt_age = std::max(Time(0), now - entry.doubt_since);
+    restored.attempt_age = std::max(Time(0), now - entry.attempt_started);
+    restored.uncertain_age = std::max(Time(0), now - entry.uncertain_since);
     restored.more_follow = true;
     input(restored);
   }
   if (held.empty()) return;
-  input(TimerDue{});  // no more follow
+  input(TimerExpired{});  // no more follow
   log_("journal", std::to_string(held.size()) + " messages go on");
 }
 
@@ -133,78 +135,79 @@
   record_.note(input);
   for (Effect& effect : reducer_.reduce(steady_now(), input)) {
     if (!is_dropped(effect)) record_.note(effect);
-    std::visit([this](auto& e) { carry(e); }, effect);
+    std::visit([this](auto& e) { execute(e); }, effect);
   }
-  tell_storage();
+  report_storage_state();
 }
 
-void Relay::carry(CancelCall& e) { upstream_.cancel(e); }
-void Relay::carry(HoldBack& e) { upstream_.hold_back(e); }
-void Relay::carry(CloseIdle& e) { upstream_.close_idle(e.host); }
-void Relay::carry(RetireHost& e) { upstream_.retire(e.host); }
-void Relay::carry(PostNotice& e) {
+void Relay::execute(CancelCall& e) { upstream_.cancel(e); }
+void Relay::execute(CancelUnsentCall& e) { upstream_.hold_back(e); }
+void Relay::execute(CloseIdleConnections& e) { upstream_.close_idle(e.host); }
+void Relay::execute(RetireHost& e) { upstream_.retire(e.host); }
+void Relay::execute(PostNotice& e) {
   if (e.stream == unrecorded_stream_) return;  // its client hears a refusal instead
-  if (config_.platform) return notices_.post(e);
+  if (config_.has_platform) return notices_.post(e);
   // Without a platform the log is all that hears of it, and the end is recorded right after.
-  ++counters_.unnoticed;
+  ++counters_.ended_without_notice;
   log_("undelivered", e.id + (e.verdict == Verdict::deferred ? ": deferred" : ": undeliverable"));
-  unheard_.push_back(e.stream);
-  asio::post(io_, [this] { end_unheard(); });
+  unnoticed_ends_.push_back(e.stream);
+  asio::post(io_, [this] { complete_unnoticed(); });
 }
-void Relay::end_unheard() {
-  for (const StreamId stream : std::exchange(unheard_, {})) input(NoticeTaken{stream});
+void Relay::complete_unnoticed() {
+  for (const StreamId stream : std::exchange(unnoticed_ends_, {})) input(NoticeAccepted{stream});
 }
-void Relay::carry(SetTimer& e) {
-  timer_.expires_at(steady_moment(e.at));
+void Relay::execute(SetTimer& e) {
+  timer_.expires_at(to_time_point(e.at));
   timer_.async_wait([this](asio::error_code error) {
-    if (!error) input(TimerDue{});
+    if (!error) input(TimerExpired{});
   });
 }
-void Relay::carry(Say& e) { log_("module", e.text); }
+void Relay::execute(LogMessage& e) { log_("module", e.text); }
 
-void Relay::carry(FleetDo& e) {
-  if (const auto* slot = std::get_if<fleet::DrainDo>(&e.effect)) return carry(slot->effect);
-  if (const auto* mover = std::get_if<fleet::MoverDo>(&e.effect)) {
-    if (const auto* move = std::get_if<release::Move>(&mover->effect)) return carry(*move);
+void Relay::execute(FleetEffect& e) {
+  if (const auto* slot = std::get_if<fleet::DrainEffect>(&e.effect)) return execute(slot->effect);
+  if (const auto* mover = std::get_if<fleet::MoverEffect>(&e.effect)) {
+    if (const auto* move = std::get_if<release::Move>(&mover->effect)) return execute(*move);
   }
-  const auto* const refresh = std::get_if<fleet::RefreshDo>(&e.effect);
-  if (!refresh) return fleet_->carry(e.effect);
-  if (const auto* start = std::get_if<fleet::StartOwn>(&refresh->effect)) return carry(*start);
-  if (const auto* stop = std::get_if<fleet::StopOwn>(&refresh->effect)) return carry(*stop);
-  if (const auto* list = std::get_if<fleet::TakeList>(&refresh->effect)) return carry(*list);
-  fleet_->carry(e.effect);
+  const auto* const refresh = std::get_if<fleet::RefreshRoleEffect>(&e.effect);
+  if (!refresh) return fleet_->execute(e.effect);
+  if (const auto* start = std::get_if<fleet::StartDiscoveryWatch>(&refresh->effect)) return execute(*start);
+  if (const auto* stop = std::get_if<fleet::StopDiscoveryWatch>(&refresh->effect)) return execute(*stop);
+  if (const auto* list = std::get_if<fleet::ApplyList>(&refresh->effect)) return execute(*list);
+  fleet_->execute(e.effect);
 }
 
 // --- The list that one relay watches for all
-void Relay::carry(const fleet::StartOwn& e) {
+void Relay::execute(const fleet::StartDiscoveryWatch& e) {
   discovery_ = std::make_shared<Discovery>(io_, config_, discovery_address_, counters_, log_,
-                                           [this](HostList list, bool) { take_own(std::move(list)); });
-  discovery_->on_heard([this] { hear(fleet::OwnHeard{}); });
-  if (e.known) discovery_->know(*e.known);
+                                           [this](HostList list, bool) { apply_own_list(std::move(list)); });
+  discovery_->on_activity([this] { handle_refresh_input(fleet::DiscoveryAnswered{}); });
+  if (e.from_version) discovery_->set_known_version(*e.from_version);
   discovery_->start();
 }
-void Relay::carry(const fleet::StopOwn&) {
+void Relay::execute(const fleet::StopDiscoveryWatch&) {
   if (const auto own = std::exchange(discovery_, nullptr)) own->stop();
 }
-void Relay::carry(const fleet::TakeList& e) {
+void Relay::execute(const fleet::ApplyList& e) {
   try {
     HostList list = parse_hosts(e.text, config_.boot);
-    whole_.take(list);
-    take_list(std::move(list), e.cached);
+    merged_list_.apply(list);
+    apply_list(std::move(list), e.cached);
   } catch (const ConfigError& error) {
     log_("refresh", std::string("the shared list cannot be used: ") + error.what());
   }
 }
 // As all relays of the fleet know it.
 std::string Relay::discovery_name() const {
-  const std::string& name = config_.fleet->discovery;
+  const std::string& name = config_.fleet->discovery_name;
   return name.empty() ? discovery_address_.text() : name;
 }
-void Relay::take_own(HostList list) {
-  whole_.take(list);
+void Relay::apply_own_list(HostList list) {
+  merged_list_.apply(list);
   const std::uint64_t version = list.version;
-  take_list(std::move(list), false);
-  if (whole_.known()) hear(fleet::OwnList{version, hosts_json(whole_.whole(), config_.boot)});
+  apply_list(std::move(list), false);
+  if (merged_list_.has_full_list())
+    handle_refresh_input(fleet::DiscoveredList{version, hosts_json(merged_list_.full_list(), config_.boot)});
 }
 
 // What this relay may do on behalf of the whole fleet: sought once it is ready, given up when it stops.
@@ -213,7 +216,7 @@
   const FleetSettings& wanted = *config_.fleet;
   fleet_ =
       std::make_shared<FleetAgent>(io_, *config_.consul, wanted, config_.name, config_.limits, counters_,
-                                   log_, [this](fleet::Input heard) { input(FleetHeard{std::move(heard)}); });
+                                   log_, [this](fleet::Input heard) { input(FleetInput{std::move(heard)}); });
   fleet::Plan plan;
   plan.roles = wanted.roles;
   plan.timing = wanted.timing;
@@ -223,28 +226,28 @@
   if (wanted.drain) plan.slot = wanted.drain->slot;
   if (wanted.release) {
     plan.mover = wanted.release->mover;
-    plan.mover->build = std::filesystem::path(place_.command.program).filename().string();
+    plan.mover->build = std::filesystem::path(launch_context_.command.program).filename().string();
     plan.coordinator = wanted.release->coordinator;
   }
   if (wanted.ejection) {
     plan.reporter = wanted.ejection->reporter;
     plan.arbiter = wanted.ejection->arbiter;
   }
-  input(FleetPlanned{std::move(plan)});
+  input(FleetPlanReceived{std::move(plan)});
   fleet_->start();
-  if (wanted.drain && !adopted_) adopt_slot();
-  if (ready_) input(FleetHeard{fleet::Seek{}});
+  if (wanted.drain && !took_over_) adopt_slot();
+  if (ready_) input(FleetInput{fleet::AcquireRoles{}});
 }
 
 void Relay::on_signal(int number) {
   if (number == SIGUSR1) return print_counters();
   if (number == SIGHUP) return reload();
-  if (number != SIGUSR2) return stopping_ ? void() : stop_asked(number);
+  if (number != SIGUSR2) return stopping_ ? void() : on_stop_requested(number);
   if (!upgrade_ || stopping_) {
     return log_("upgrade", stopping_ ? "the relay is stopping"
                                      : "upgrades are off: the settings have no section for them");
   }
-  upgrade_asked();
+  on_upgrade_requested();
 }
 
 // For the first time only once the journal can be written, since nothing can be taken on before.
@@ -259,49 +262,52 @@
   if (first) record_.note(record::Kind::ready, 0, 0);
   downstream_.set_ready();
   if (consul_) consul_->set_ready();
-  if (first && fleet_ && !stopping_) input(FleetHeard{fleet::Seek{}});
-  if (first) give_slot_back();
+  if (first && fleet_ && !stopping_) input(FleetInput{fleet::AcquireRoles{}});
+  if (first) release_slot();
 }
 
-void Relay::take_list(HostList list, bool cached) {
-  const bool any = !list.hosts.empty() || list.whole;
+void Relay::apply_list(HostList list, bool cached) {
+  const bool any = !list.hosts.empty() || list.full;
   input(ClusterChanged{std::move(list), cached});
   if (any) set_ready();  // the journal was replayed before
 }
 
-void Relay::take_source(const Config& wanted) {
+void Relay::apply_source(const Config& wanted) {
   const std::shared_ptr<ConsulSource> before = std::exchange(consul_, nullptr);
   const std::shared_ptr<Discovery> old_discovery = std::exchange(discovery_, nullptr);
   if (before) before->stop();
   if (old_discovery) old_discovery->stop();
-  const auto on_list = [this](HostList list, bool cached) { take_list(std::move(list), cached); };
+  const auto on_list = [this](HostList list, bool cached) { apply_list(std::move(list), cached); };
   const auto inherit = [this, &wanted](auto& source) {
     if (inherited_source_ == wanted.source && !inherited_watch_.empty()) source.load(inherited_watch_);
   };
-  if (shares_list() && wanted.source != MembershipSource::platform) hear(fleet::RefreshPause{});
+  if (shares_list() && wanted.source != MembershipSource::platform)
+    handle_refresh_input(fleet::RefreshPaused{});
   switch (wanted.source) {
     case MembershipSource::platform:
       log_("membership", "from the platform, at " + wanted.discovery.text());
       if (shares_list()) {
-        fleet::RefreshBegin begin{discovery_name(), std::nullopt, false};
+        fleet::RefreshStarted begin{discovery_name(), std::nullopt, false};
         if (const auto version = std::exchange(known_version_, std::nullopt)) {
-          whole_.take(config_.known);
-          begin.known = fleet::OwnList{*version, hosts_json(config_.known, config_.boot)};
+          merged_list_.apply(config_.known_hosts);
+          begin.known = fleet::DiscoveredList{*version, hosts_json(config_.known_hosts, config_.boot)};
         }
-        return hear(std::move(begin));
+        return handle_refresh_input(std::move(begin));
       }
       discovery_ = std::make_shared<Discovery>(io_, config_, wanted.discovery, counters_, log_, on_list);
       inherit(*discovery_);
-      if (const auto version = std::exchange(known_version_, std::nullopt)) discovery_->know(*version);
+      if (const auto version = std::exchange(known_version_, std::nullopt))
+        discovery_->set_known_version(*version);
       return discovery_->start();
     case MembershipSource::list:
-      log_("membership", "from the settings, " + std::to_string(wanted.known.hosts.size()) + " hosts");
-      return take_list(wanted.known, false);
+      log_("membership", "from the settings, " + std::to_string(wanted.known_hosts.hosts.size()) + " hosts");
+      return apply_list(wanted.known_hosts, false);
     case MembershipSource::consul:
       log_("membership", "from Consul, at " + wanted.consul->agent.text());
       consul_ = std::make_shared<ConsulSource>(
           io_, *wanted.consul,
-          ConsulPlace{config_.name, wanted.seed, {config_.boot.zones, config_.boot.kinds}, state_folder_},
+          ConsulSourceContext{
+              config_.name, wanted.seed, {config_.boot.zones, config_.boot.kinds}, state_folder_},
           config_.limits, counters_, log_, on_list, before.get());
       inherit(*consul_);
       if (ready_) consul_->set_ready();
@@ -313,33 +319,34 @@
 // goes on, and discovery's list stands until the new address has sent one.
 void Relay::reload() {
   if (!storage_open_) {
-    reload_waits_ = true;
+    reload_pending_ = true;
     return;
   }
-  reloaded_ = true;
+  reloaded_during_upgrade_ = true;
   record_.note(record::Kind::signalled, 0, SIGHUP);
   try {
     const Config wanted = reread_();
-    for (const std::string& part : fixed_parts_changed(config_, wanted)) {
+    for (const std::string& part : changed_fixed_parts(config_, wanted)) {
       log_("reload", part + " has changed and needs a restart; the old one stays");
     }
     ++counters_.reloads;
     const bool moved = wanted.discovery != discovery_address_;
     discovery_address_ = wanted.discovery;
-    if (config_.platform && moved) notices_.redirect(wanted.discovery);
+    if (config_.has_platform && moved) notices_.redirect(wanted.discovery);
     // Who follows the shared list has no watch of its own, but discovery all the same.
-    const bool from_platform = discovery_ || (reducer_.fleet() && reducer_.fleet()->follows());
+    const bool from_platform = discovery_ || (reducer_.fleet() && reducer_.fleet()->follows_shared_list());
     if (wanted.source == MembershipSource::platform && from_platform) {
       if (!moved) return log_("reload", "discovery has not moved");
       log_("reload", "discovery is at " + wanted.discovery.text());
-      if (shares_list()) return hear(fleet::RefreshBegin{discovery_name(), std::nullopt, true});
+      if (shares_list())
+        return handle_refresh_input(fleet::RefreshStarted{discovery_name(), std::nullopt, true});
       return discovery_->redirect(wanted.discovery);
     }
     // Guards the relay's registration against being given back and made anew at once, which may cross.
     if (wanted.source == MembershipSource::consul && consul_ && consul_->settings() == *wanted.consul) {
       return log_("reload", "nothing of Consul has changed");
     }
-    take_source(wanted);
+    apply_source(wanted);
   } catch (const ConfigError& e) {
     log_("reload", std::string("the old configuration stays: ") + e.what());
   }
@@ -351,18 +358,18 @@
   stopping_ = true;
   const Limits& limits = config_.limits;
   log_("", "stopping");
-  if (upgrade_) upgrade_->call_off("the relay is to stop");
-  if (storage_open_) input(StopAsked{steady_now() + limits.stop_total - limits.stop_margin});
-  downstream_.send_away();
+  if (upgrade_) upgrade_->abort_upgrade("the relay is to stop");
+  if (storage_open_) input(StopRequested{steady_now() + limits.stop_timeout - limits.stop_margin});
+  downstream_.disable_keep_alive();
   const fleet::Fleet* const fleet = reducer_.fleet();
-  const bool planned = fleet && fleet->slot() && fleet->slot()->step() == drain::Slot::Step::out;
+  const bool planned = fleet && fleet->slot() && fleet->slot()->step() == drain::Slot::Step::offline;
   if (consul_) consul_->leave(planned);
-  if (fleet_) input(FleetHeard{fleet::Resign{}});
-  stop_timer_.expires_after(limits.stop_idle);
+  if (fleet_) input(FleetInput{fleet::ResignRoles{}});
+  stop_timer_.expires_after(limits.stop_idle_timeout);
   stop_timer_.async_wait([this, &limits](asio::error_code error) {
     if (error) return;
     downstream_.close_idle();
-    stop_timer_.expires_after(limits.stop_total - limits.stop_idle);
+    stop_timer_.expires_after(limits.stop_timeout - limits.stop_idle_timeout);
     stop_timer_.async_wait([this](asio::error_code e) {
       if (!e) io_.stop();
     });
@@ -377,14 +384,14 @@
   if (!config_.record) return;
   const std::string path =
       config_.record->folder.empty() ? in_state : config_.record->folder + "/" + config_.name + ".record";
-  const wire::BootInfo& boot = config_.boot;
+  const wire::InstanceSettings& boot = config_.boot;
   std::vector<record::ClassLegend> classes;
   for (std::size_t i = 0; i < boot.classes.size(); ++i) {
     const starlinghook::ClassSettings& c = boot.settings.classes.at(i);
     classes.push_back({boot.classes[i], c.aim, c.deadline, c.worth});
   }
   try {
-    record_.open(path, record::record_file_size(config_.record->bytes),
+    record_.open(path, record::record_file_size(config_.record->file_bytes),
                  record::legend_text({config_.name, std::move(classes), boot.tenants}));
   } catch (const record::RecordError& e) {
     return log_("record", std::string("there is none: ") + e.what());
@@ -393,17 +400,18 @@
   loop_watch_.start();
 }
 
-void Relay::note_beat(Time latest) {
+void Relay::record_heartbeat(Time latest) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
   const auto time_of = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
   const Time cpu = time_of(usage.ru_utime) + time_of(usage.ru_stime);
   const auto count = [](std::size_t n) { return static_cast<std::uint32_t>(n); };
-  record_.note(record::Kind::beat, 0,
-               static_cast<std::uint16_t>(std::min<Time::rep>(latest.count() / 1000, UINT16_MAX)),
-               {count(journal_.held().size()), count(upstream_.calls()), count(downstream_.connections())});
+  record_.note(
+      record::Kind::beat, 0,
+      static_cast<std::uint16_t>(std::min<Time::rep>(latest.count() / 1000, UINT16_MAX)),
+      {count(journal_.held().size()), count(upstream_.active_calls()), count(downstream_.connections())});
   record_.note(record::Kind::load, 0, 0,
-               {record::us32(cpu - std::exchange(noted_cpu_, cpu)),
+               {record::us32(cpu - std::exchange(recorded_cpu_, cpu)),
                 static_cast<std::uint32_t>(usage.ru_maxrss), count(upstream_.connections())});
 }
 
--- a/src/relay/relay_storage.cpp
+++ b/src/relay/relay_storage.cpp
@@ -38,46 +38,46 @@
   const Limits& limits = config_.limits;
   try {
     if (lock_.get() < 0) lock_ = lock_journal(state_folder_, Time(0));
-    journal_ = Journal(state_folder_, limits.journal_file);
+    journal_ = Journal(state_folder_, limits.max_journal_file);
   } catch (const JournalError& e) {
     const Time waited = steady_now() - started_;
     const bool locked = e.error() == EWOULDBLOCK;
-    if (e.error() == 0 || (locked && waited >= limits.lock_wait) ||
-        (is_unusable(e.error()) && waited >= limits.start_wait)) {
+    if (e.error() == 0 || (locked && waited >= limits.lock_timeout) ||
+        (is_unusable(e.error()) && waited >= limits.startup_wait)) {
       throw;
     }
-    if (!std::exchange(open_failure_said_, true)) log_("storage", std::string("not yet open: ") + e.what());
+    if (!std::exchange(open_failure_logged_, true)) log_("storage", std::string("not yet open: ") + e.what());
     downstream_.set_not_ready(e.what());
-    storage_timer_.expires_after(storage_retry_.next());
+    storage_timer_.expires_after(storage_retry_.next_delay());
     storage_timer_.async_wait([this](asio::error_code error) {
       if (!error) open_storage();
     });
     return;
   }
-  if (open_failure_said_) log_("storage", "open after " + seconds_text(steady_now() - started_));
+  if (open_failure_logged_) log_("storage", "open after " + seconds_text(steady_now() - started_));
   storage_retry_.reset();
   storage_open_ = true;
-  if (!stopping_) serve();
+  if (!stopping_) start_serving();
 }
 
-void Relay::carry(RecordTaken& e) {
+void Relay::execute(RecordAccepted& e) {
   e.entry.deadline = steady_now() + e.time_left;
-  if (!journal_.taken(e.stream, std::move(e.entry))) unrecorded_stream_ = e.stream;
+  if (!journal_.message_accepted(e.stream, std::move(e.entry))) unrecorded_stream_ = e.stream;
 }
-void Relay::carry(RecordAttempt& e) {
+void Relay::execute(RecordAttempt& e) {
   if (e.stream == unrecorded_stream_) return;
   if (journal_.attempt_started(e.stream, steady_now(), e.zone)) return;
   if (e.required) {
     unrecorded_attempt_ = e.stream;
   } else {
-    journal_.attempt_started_unrecorded(e.stream, steady_now(), e.zone);
+    journal_.attempt_started_best_effort(e.stream, steady_now(), e.zone);
   }
 }
-void Relay::carry(RecordOutcome& e) { journal_.attempt_ended(e.stream, e.may_have_run); }
-void Relay::carry(RecordGivenUp& e) {
-  if (e.stream != unrecorded_stream_) journal_.given_up(e.stream, e.verdict, e.again);
+void Relay::execute(RecordOutcome& e) { journal_.attempt_ended(e.stream, e.may_have_run); }
+void Relay::execute(RecordGivenUp& e) {
+  if (e.stream != unrecorded_stream_) journal_.message_given_up(e.stream, e.verdict, e.retry_after);
 }
-void Relay::carry(RecordEnded& e) { journal_.ended(e.stream); }
+void Relay::execute(RecordEnded& e) { journal_.message_ended(e.stream); }
 
 // What belongs to a message that could not be recorded is not carried out.
 bool Relay::is_dropped(const Effect& effect) const {
@@ -88,16 +88,17 @@
 }
 
 // A client whose message could not be recorded hears a refusal.
-void Relay::carry(Answer& e) {
+void Relay::execute(SendAnswer& e) {
   if (e.stream != 0 && e.stream == unrecorded_stream_) {
     ++counters_.storage_refused;
-    e = Answer{e.reply, Reply::refused, reducer_.refused_again(), AdmissionOutcome::storage, 0};
-  } else if (e.admission == AdmissionOutcome::storage) {
+    e = SendAnswer{e.request, AdmissionReply::refused, reducer_.refusal_retry_after(),
+                   AdmissionOutcome::storage_failing, 0};
+  } else if (e.admission == AdmissionOutcome::storage_failing) {
     ++counters_.storage_refused;
   }
   downstream_.answer(e);
 }
-void Relay::carry(StartCall& e) {
+void Relay::execute(StartCall& e) {
   if (e.stream == unrecorded_stream_) return;
   if (std::exchange(unrecorded_attempt_, std::nullopt) != e.stream) return upstream_.start(std::move(e));
   ++counters_.storage_unsent;
@@ -105,8 +106,8 @@
 }
 
 // Behind the effects of each input: what of them could not be recorded, and whether storage has changed.
-void Relay::tell_storage() {
-  if (const auto stream = std::exchange(unrecorded_stream_, std::nullopt)) input(NotRecorded{*stream});
+void Relay::report_storage_state() {
+  if (const auto stream = std::exchange(unrecorded_stream_, std::nullopt)) input(RecordingFailed{*stream});
   const bool writable = !journal_.failure();
   if (std::exchange(storage_writable_, writable) == writable) return;
   if (writable) {
@@ -118,7 +119,7 @@
     ++counters_.storage_failures;
     storage_failing_since_ = steady_now();
     log_("storage", "fails: " + journal_.failure()->text());
-    repair_storage_later();
+    schedule_storage_repair();
   }
   record_.note(record::Kind::storage, 0,
                static_cast<std::uint16_t>(writable ? 0 : journal_.failure()->error));
@@ -126,13 +127,13 @@
   if (writable && ready_waits_for_storage_) set_ready();
 }
 
-void Relay::repair_storage_later() {
-  storage_timer_.expires_after(storage_retry_.next());
+void Relay::schedule_storage_repair() {
+  storage_timer_.expires_after(storage_retry_.next_delay());
   storage_timer_.async_wait([this](asio::error_code error) {
     if (error || !journal_.failure()) return;
     journal_.repair();
-    tell_storage();
-    if (journal_.failure()) repair_storage_later();
+    report_storage_state();
+    if (journal_.failure()) schedule_storage_repair();
   });
 }
 
--- a/src/relay/relay_upgrade.cpp
+++ b/src/relay/relay_upgrade.cpp
@@ -7,15 +7,15 @@
 #include <utility>
 
 #include "clock.hpp"
-#include "memory.hpp"
 #include "relay.hpp"
 #include "run_file.hpp"
+#include "snapshot.hpp"
 #include "watch.hpp"
 
 namespace fennellane {
 namespace {
 
-constexpr std::uint32_t kMemoryVersion = 4;
+constexpr std::uint32_t kSnapshotVersion = 4;
 
 std::string ms_text(Time span) {
   char text[32];
@@ -26,23 +26,23 @@
 }  // namespace
 
 template <class Archive>
-void Relay::remember_parts(Archive& archive) {
+void Relay::serialize_state(Archive& archive) {
   static_assert(std::is_trivially_copyable_v<Counters>);
   std::uint64_t size = sizeof counters_;
   archive(size);
-  if (size != sizeof counters_) throw starlinghook::MemoryError("the counters are of another version");
+  if (size != sizeof counters_) throw starlinghook::SnapshotError("the counters are of another version");
   archive(cereal::binary_data(&counters_, sizeof counters_));
   // With the one that is under way: the new process may be asked for the next at once.
-  std::uint64_t upgrades = upgrades_ + 1;
-  archive(unheard_, ready_, upgrades);
-  if (Archive::is_loading::value) upgrades_ = upgrades;
+  std::uint64_t upgrades = finished_upgrades_ + 1;
+  archive(unnoticed_ends_, ready_, upgrades);
+  if (Archive::is_loading::value) finished_upgrades_ = upgrades;
 }
 
-std::string Relay::save(DescriptorsOut& descriptors) {
-  return written_memory(kMemoryVersion, [&](MemoryWriter& archive) {
-    archive(config_.name, config_.listen, config_.settings, steady_now(), ::getpid(),
+std::string Relay::save(OutgoingDescriptors& descriptors) {
+  return write_snapshot(kSnapshotVersion, [&](SnapshotWriter& archive) {
+    archive(config_.name, config_.listen, config_.raw_settings, steady_now(), ::getpid(),
             descriptors.add(lock_.get()));
-    remember_parts(archive);
+    serialize_state(archive);
     archive(reducer_.save(), upstream_.save(descriptors), downstream_.save(descriptors), notices_.save());
     const bool consul = consul_ != nullptr;
     archive(consul       ? MembershipSource::consul
@@ -54,17 +54,17 @@
   });
 }
 
-void Relay::load(const std::string& state, DescriptorsIn& descriptors) {
-  read_memory(state, "the relay's state", kMemoryVersion, [&](MemoryReader& archive) {
+void Relay::load(const std::string& state, IncomingDescriptors& descriptors) {
+  read_snapshot(state, "the relay's state", kSnapshotVersion, [&](SnapshotReader& archive) {
     Config running = config_;  // but for what goes along
     std::uint32_t lock = 0;
-    archive(running.name, running.listen, running.settings, stood_still_since_, old_process_, lock);
-    const std::vector<std::string> changed = fixed_parts_changed(running, config_);
+    archive(running.name, running.listen, running.raw_settings, frozen_since_, old_pid_, lock);
+    const std::vector<std::string> changed = changed_fixed_parts(running, config_);
     if (!changed.empty()) {
-      throw starlinghook::MemoryError(changed.front() + " has changed and needs a restart");
+      throw starlinghook::SnapshotError(changed.front() + " has changed and needs a restart");
     }
-    lock_ = descriptors.take(lock);
-    remember_parts(archive);
+    lock_ = descriptors.extract(lock);
+    serialize_state(archive);
     std::string reducer, upstream, downstream, notices;
     archive(reducer, upstream, downstream, notices, inherited_source_, inherited_watch_);
     reducer_.load(config_.boot.settings, reducer, [this](StreamId stream) {
@@ -75,105 +75,109 @@
     downstream_.load(downstream, descriptors);
     notices_.load(notices);
   });
-  adopted_ = true;
+  took_over_ = true;
   storage_open_ = true;
 }
 
 // Clients first: they are the ones who wait.
-void Relay::go_on() {
+void Relay::start_after_takeover() {
   // Guards against a request that has been read being answered as if the relay had only just begun.
   if (ready_) downstream_.set_ready();
   upstream_.resume();
   downstream_.resume();
-  const Time pause = steady_now() - stood_still_since_;
+  const Time pause = steady_now() - frozen_since_;
   if (reducer_.next_timer() != Time::max()) {
     SetTimer timer{reducer_.next_timer()};
-    carry(timer);
+    execute(timer);
   }
-  if (!unheard_.empty()) asio::post(io_, [this] { end_unheard(); });
-  if (config_.platform) notices_.start();
+  if (!unnoticed_ends_.empty()) asio::post(io_, [this] { complete_unnoticed(); });
+  if (config_.has_platform) notices_.start();
   join_fleet();
   // The handover for which a slot was taken is over.
-  if (const fleet::Fleet* f = reducer_.fleet(); f && f->slot() && f->slot()->step() == drain::Slot::Step::out)
-    drain(drain::Back{});
-  take_source(config_);
+  if (const fleet::Fleet* f = reducer_.fleet();
+      f && f->slot() && f->slot()->step() == drain::Slot::Step::offline)
+    handle_drain_input(drain::OutageEnded{});
+  apply_source(config_);
   inherited_watch_.clear();
   log_("upgrade", "serves after " + ms_text(pause) + ", with " + std::to_string(journal_.held().size()) +
                       " messages, " + std::to_string(downstream_.connections()) + " clients, " +
-                      std::to_string(upstream_.calls()) + " calls out");
-  upgrade();
+                      std::to_string(upstream_.active_calls()) + " calls out");
+  enable_upgrades();
 }
 
 // Makes upgrades possible, where they are wanted.
-void Relay::upgrade() {
+void Relay::enable_upgrades() {
   if (!config_.upgrade) return upgrade::remove_run_file(state_folder_);  // of an earlier life
   const UpgradeSettings& wanted = *config_.upgrade;
-  upgrade::CommandLine command = place_.command;
+  upgrade::CommandLine command = launch_context_.command;
   if (!wanted.program.empty()) command.program = command.arguments.front() = wanted.program;
   handover::Limits limits;
-  limits.start = wanted.start;
-  limits.state = wanted.state;
-  limits.taken = wanted.taken;
-  upgrade_ =
-      std::make_unique<upgrade::OldProcess>(io_, std::move(command), place_.watcher, journal_.generation(),
-                                            limits, static_cast<upgrade::Upgradable&>(*this), log_);
-  if (adopted_) return old_ended();
-  upgrade::write_run_file(state_folder_, {::getpid(), 0, upgrades_, true, "no upgrade yet"});
+  limits.start_timeout = wanted.start_timeout;
+  limits.state_timeout = wanted.state_timeout;
+  limits.takeover_timeout = wanted.takeover_timeout;
+  upgrade_ = std::make_unique<upgrade::OldProcess>(io_, std::move(command), launch_context_.watcher,
+                                                   journal_.generation(), limits,
+                                                   static_cast<upgrade::Upgradable&>(*this), log_);
+  if (took_over_) return await_old_process_exit();
+  upgrade::write_run_file(state_folder_, {::getpid(), 0, finished_upgrades_, true, "no upgrade yet"});
 }
 
-void Relay::watch_old(FileDescriptor channel) { old_end_.emplace(io_, channel.release()); }
+void Relay::watch_old_process(FileDescriptor channel) {
+  old_process_channel_.emplace(io_, channel.release());
+}
 
 // Waits for the old process to be gone, and looks after what it may not have done.
-void Relay::old_ended() {
+void Relay::await_old_process_exit() {
   const auto when_gone = [this] {
     constexpr std::chrono::milliseconds kLook{5};
     // Its files close before its children have another parent.
-    if (::getppid() == old_process_) {
-      old_timer_.expires_after(kLook);
-      return old_timer_.async_wait([this](asio::error_code error) {
-        if (!error) old_ended();
+    if (::getppid() == old_pid_) {
+      old_process_timer_.expires_after(kLook);
+      return old_process_timer_.async_wait([this](asio::error_code error) {
+        if (!error) await_old_process_exit();
       });
     }
-    old_end_.reset();
-    if (place_.watcher > 0) upgrade::die_with(place_.watcher);
+    old_process_channel_.reset();
+    if (launch_context_.watcher > 0) upgrade::set_parent_death_signal(launch_context_.watcher);
     const auto file = upgrade::read_run_file(state_folder_);
     if (file && file->pid == ::getpid()) return;
-    upgrade::write_run_file(state_folder_,
-                            {::getpid(), 0, upgrades_, true, "the old process died, and this one serves"});
+    upgrade::write_run_file(state_folder_, {::getpid(), 0, finished_upgrades_, true,
+                                            "the old process died, and this one serves"});
   };
-  old_end_->async_wait(asio::posix::stream_descriptor::wait_read, [when_gone](asio::error_code error) {
-    if (!error) when_gone();
-  });
+  old_process_channel_->async_wait(asio::posix::stream_descriptor::wait_read,
+                                   [when_gone](asio::error_code error) {
+                                     if (!error) when_gone();
+                                   });
 }
 
 void Relay::upgrade_started(pid_t new_process) {
   // Guards the watcher against not knowing whom to follow.
-  if (!upgrade::write_run_file(state_folder_,
-                               {::getpid(), new_process, upgrades_, true, "an upgrade is under way"})) {
+  if (!upgrade::write_run_file(
+          state_folder_, {::getpid(), new_process, finished_upgrades_, true, "an upgrade is under way"})) {
     throw JournalError("the state folder takes no file");
   }
 }
 
 void Relay::upgrade_failed(const std::string& why) {
-  upgrade::write_run_file(state_folder_, {::getpid(), 0, ++upgrades_, false, why});
-  outing_failed(why);
+  upgrade::write_run_file(state_folder_, {::getpid(), 0, ++finished_upgrades_, false, why});
+  planned_outage_failed(why);
 }
 
 // Everything that is open stays open in the other process, so nothing is closed but by this one's end.
-void Relay::leave(pid_t new_process) {
-  upgrade::write_run_file(state_folder_, {new_process, 0, upgrades_ + 1, true,
+void Relay::exit_after_handover(pid_t new_process) {
+  upgrade::write_run_file(state_folder_, {new_process, 0, finished_upgrades_ + 1, true,
                                           "process " + std::to_string(new_process) + " serves"});
-  if (reloaded_) ::kill(new_process, SIGHUP);
-  while (const std::optional<int> number = signals_.take()) {
+  if (reloaded_during_upgrade_) ::kill(new_process, SIGHUP);
+  while (const std::optional<int> number = signals_.read_pending()) {
     if (*number != SIGUSR2) ::kill(new_process, *number);
   }
   log_("upgrade", "process " + std::to_string(new_process) + " has taken over");
-  std::_Exit(upgrade::kLeft);
+  std::_Exit(upgrade::kHandedOverExitCode);
 }
 
-void Relay::start_anew() {
+void Relay::restart_from_journal() {
   log_("upgrade", "begins again from the journal");
-  upgrade::become(place_.command, place_.watcher);
+  upgrade::reexec(launch_context_.command, launch_context_.watcher);
   std::_Exit(1);
 }
 
--- a/src/release/coordinator.cpp
+++ b/src/release/coordinator.cpp
@@ -10,19 +10,20 @@
   return out;
 }
 
-std::vector<CoordinatorEffect> Coordinator::acts(Time now, lease::Token token, const std::string& session) {
+std::vector<CoordinatorEffect> Coordinator::activate(Time now, lease::Token token,
+                                                     const std::string& session) {
   Effects out;
   token_ = token;
   session_ = session;
   // What another has watched was on another clock: it begins anew.
-  heard_.clear();
+  received_.clear();
   reading_ = writing_ = false;
   begin_phase(now);
-  on(now, LookDue{}, out);
+  on(now, CheckTimerExpired{}, out);
   return out;
 }
 
-void Coordinator::stops() { token_.reset(); }
+void Coordinator::deactivate() { token_.reset(); }
 
 void Coordinator::begin_phase(Time now) {
   phase_since_ = now;
@@ -37,13 +38,13 @@
   writing_ = false;
   if (!changed) return;
   begin_phase(now);
-  if (token_ && busy() && !looking_) on(now, LookDue{}, out);
+  if (token_ && busy() && !check_scheduled_) on(now, CheckTimerExpired{}, out);
 }
 
-void Coordinator::on(Time now, const LookDue&, Effects& out) {
-  looking_ = token_ && busy();
-  if (!looking_) return;
-  out.emplace_back(SetLookTimer{now + settings_.look});
+void Coordinator::on(Time now, const CheckTimerExpired&, Effects& out) {
+  check_scheduled_ = token_ && busy();
+  if (!check_scheduled_) return;
+  out.emplace_back(SetCheckTimer{now + settings_.check_interval});
   if (reading_) return;
   reading_ = true;
   out.emplace_back(ReadReports{});
@@ -51,22 +52,22 @@
 
 void Coordinator::on(Time, const StateWritten& written, Effects& out) {
   // Taken or refused, the watch brings the state as it is now; after a failure it may not have changed.
-  if (written.how == StateWritten::How::failed) writing_ = false;
-  if (written.how == StateWritten::How::refused)
-    out.emplace_back(CoordinatorSaid{"a step was refused, as the role or the state has changed"});
+  if (written.result == StateWritten::Result::unknown) writing_ = false;
+  if (written.result == StateWritten::Result::refused)
+    out.emplace_back(CoordinatorLogMessage{"a step was refused, as the role or the state has changed"});
 }
 
 void Coordinator::on(Time now, const ReportsRead& read, Effects& out) {
   reading_ = false;
-  if (!token_ || !busy() || !read.good) return;
-  std::map<std::string, Heard> heard;
+  if (!token_ || !busy() || !read.ok) return;
+  std::map<std::string, ReceivedReport> heard;
   for (const Report& r : read.reports) {
     if (r.release != state_->id) continue;
-    const auto known = heard_.find(r.relay);
-    const bool grown = known == heard_.end() || r.beat != known->second.report.beat;
+    const auto known = received_.find(r.relay);
+    const bool grown = known == received_.end() || r.heartbeat != known->second.report.heartbeat;
     heard[r.relay] = {r, grown ? now : known->second.at};
   }
-  heard_ = std::move(heard);
+  received_ = std::move(heard);
   if (writing_) return;
   if (state_->phase == Phase::gathering) gather(now, out);
   if (state_->phase == Phase::rolling) roll(now, out);
@@ -75,27 +76,27 @@
 
 std::vector<Report> Coordinator::serving(Time now) const {
   std::vector<Report> all;
-  for (const auto& [relay, h] : heard_)
+  for (const auto& [relay, h] : received_)
     if (now - h.at < settings_.silent) all.push_back(h.report);
   return all;
 }
 
 bool Coordinator::moved(const std::string& relay) const {
-  const auto it = heard_.find(relay);
-  return it != heard_.end() && it->second.report.build == state_->to;
+  const auto it = received_.find(relay);
+  return it != received_.end() && it->second.report.build == state_->to;
 }
 
 void Coordinator::write(State next, const std::string& said, Effects& out) {
   writing_ = true;
   const bool first = state_->phase == Phase::gathering;
-  out.emplace_back(CoordinatorSaid{said});
+  out.emplace_back(CoordinatorLogMessage{said});
   out.emplace_back(WriteState{session_, *token_, index_, std::move(next), first});
 }
 
 void Coordinator::breach(const std::string& why, bool of_health, Effects& out) {
   State next = *state_;
   next.phase = of_health && state_->auto_back ? Phase::back : Phase::halted;
-  next.why = why;
+  next.reason = why;
   const std::string said = std::string(name_of(next.phase)) + ": " + why;
   write(std::move(next), said, out);
 }
@@ -119,8 +120,8 @@
   bool all = true;
   for (const std::string& relay : ordered_relays(*state_)) {
     if (moved(relay)) continue;
-    const auto it = heard_.find(relay);
-    if (it != heard_.end() && !it->second.report.trouble.empty())
+    const auto it = received_.find(relay);
+    if (it != received_.end() && !it->second.report.trouble.empty())
       return breach(relay + " could not move: " + it->second.report.trouble, true, out);
     all = false;
   }
@@ -137,7 +138,7 @@
 
 std::pair<Sums, Sums> Coordinator::sides() const {
   Sums moved_side, rest;
-  for (const auto& [relay, h] : heard_) {
+  for (const auto& [relay, h] : received_) {
     const auto it = before_.find(relay);
     if (it == before_.end()) continue;
     (h.report.build == state_->to ? moved_side : rest) += since(it->second, h.report.sums);
@@ -149,7 +150,7 @@
   if (!watched_since_) {
     watched_since_ = now;
     before_.clear();
-    for (const auto& [relay, h] : heard_) before_[relay] = h.report.sums;
+    for (const auto& [relay, h] : received_) before_[relay] = h.report.sums;
   }
   const auto [moved_side, rest] = sides();
   const bool last = state_->wave + 1 >= state_->waves.size();
@@ -159,12 +160,12 @@
   if (!fault.empty()) return breach(fault, true, out);
   for (const auto& wave : state_->waves)
     for (const std::string& relay : wave)
-      if (const auto it = heard_.find(relay);
-          it != heard_.end() && moved(relay) && now - it->second.at >= settings_.silent)
+      if (const auto it = received_.find(relay);
+          it != received_.end() && moved(relay) && now - it->second.at >= settings_.silent)
         return breach(relay + " has moved and reports no more", true, out);
   const Time watched = now - *watched_since_;
   if (watched < settings_.watch) return;
-  if (!tells(moved_side, against, settings_.test) && watched < settings_.most) return;
+  if (!tells(moved_side, against, settings_.test) && watched < settings_.max_watch) return;
   next_wave(now, rest, out);
 }
 
@@ -199,7 +200,7 @@
   // long.
   if (now - phase_since_ < settings_.move)
     for (const std::string& relay : ordered_relays(*state_))
-      if (heard_.count(relay) == 0) return;
+      if (received_.count(relay) == 0) return;
   State next = *state_;
   next.phase = Phase::returned;
   write(std::move(next), "all are back at " + state_->from, out);
--- a/src/release/coordinator.hpp
+++ b/src/release/coordinator.hpp
@@ -15,32 +15,32 @@
 #include <vector>
 
 #include "mover.hpp"
-#include "written.hpp"
+#include "write_result.hpp"
 
 namespace fennellane::release {
 
 struct CoordinatorSettings {
-  Time look = std::chrono::seconds(5);     // between two reads of the reports
-  Time gather = std::chrono::seconds(15);  // from the beginning until the waves are planned
-  Time watch = std::chrono::minutes(2);    // a wave that has moved, before the next
-  Time most = std::chrono::minutes(10);    // likewise, where there is too little traffic to tell
-  Time move = std::chrono::minutes(5);     // from a wave's beginning until all of it have moved
-  Time silent = std::chrono::seconds(20);  // without a report a relay does not count as serving
+  Time check_interval = std::chrono::seconds(5);  // between two reads of the reports
+  Time gather = std::chrono::seconds(15);         // from the beginning until the waves are planned
+  Time watch = std::chrono::minutes(2);           // a wave that has moved, before the next
+  Time max_watch = std::chrono::minutes(10);      // likewise, where there is too little traffic to tell
+  Time move = std::chrono::minutes(5);            // from a wave's beginning until all of it have moved
+  Time silent = std::chrono::seconds(20);         // without a report a relay does not count as serving
   HealthTest test;
   bool operator==(const CoordinatorSettings&) const = default;
 };
 
 // --- What the caller tells, beside StateSeen
 struct ReportsRead {
-  bool good = false;
+  bool ok = false;
   std::vector<Report> reports;
 };
 struct StateWritten {
-  using How = lease::Written;
-  How how{};
+  using Result = lease::WriteResult;
+  Result result{};
 };
-struct LookDue {};
-using CoordinatorInput = std::variant<StateSeen, ReportsRead, StateWritten, LookDue>;
+struct CheckTimerExpired {};
+using CoordinatorInput = std::variant<StateSeen, ReportsRead, StateWritten, CheckTimerExpired>;
 
 // --- What the caller does
 struct ReadReports {};
@@ -51,13 +51,13 @@
   State state;
   bool clears_reports = false;  // of earlier releases, in the same transaction
 };
-struct SetLookTimer {
+struct SetCheckTimer {
   Time at{};
 };
-struct CoordinatorSaid {
+struct CoordinatorLogMessage {
   std::string text;
 };
-using CoordinatorEffect = std::variant<ReadReports, WriteState, SetLookTimer, CoordinatorSaid>;
+using CoordinatorEffect = std::variant<ReadReports, WriteState, SetCheckTimer, CoordinatorLogMessage>;
 
 class Coordinator {
  public:
@@ -65,15 +65,15 @@
 
   std::vector<CoordinatorEffect> handle(Time now, const CoordinatorInput& input);
   // Of the role: from now on it acts with this token, or does so no more.
-  std::vector<CoordinatorEffect> acts(Time now, lease::Token token, const std::string& session);
-  void stops();
+  std::vector<CoordinatorEffect> activate(Time now, lease::Token token, const std::string& session);
+  void deactivate();
 
  private:
   using Effects = std::vector<CoordinatorEffect>;
   void on(Time now, const StateSeen& seen, Effects& out);
   void on(Time now, const ReportsRead& read, Effects& out);
   void on(Time now, const StateWritten& written, Effects& out);
-  void on(Time now, const LookDue&, Effects& out);
+  void on(Time now, const CheckTimerExpired&, Effects& out);
   void gather(Time now, Effects& out);
   void roll(Time now, Effects& out);
   void come_back(Time now, Effects& out);
@@ -94,15 +94,15 @@
   std::optional<State> state_;
   std::uint64_t index_ = 0;
   bool reading_ = false, writing_ = false;
-  struct Heard {
+  struct ReceivedReport {
     Report report;
     Time at{};  // when its beat was last seen to have grown, on this relay's clock
   };
-  std::map<std::string, Heard> heard_;  // by relay; no more than the newest read names
-  Time phase_since_{};                  // as this coordinator has seen it
-  std::optional<Time> watched_since_;   // all of the wave have moved
-  std::map<std::string, Sums> before_;  // as they were then
-  bool looking_ = false;
+  std::map<std::string, ReceivedReport> received_;  // by relay; no more than the newest read names
+  Time phase_since_{};                              // as this coordinator has seen it
+  std::optional<Time> watched_since_;               // all of the wave have moved
+  std::map<std::string, Sums> before_;              // as they were then
+  bool check_scheduled_ = false;
 };
 
 }  // namespace fennellane::release
--- a/src/release/mover.cpp
+++ b/src/release/mover.cpp
@@ -55,7 +55,7 @@
     const std::optional<std::string> build = wanted();
     if (build) failed_ = state_->id + " " + *build;
   }
-  trouble_ = failed.why;
+  trouble_ = failed.reason;
   out.emplace_back(LeaveSlot{});
   out.emplace_back(SetReportTimer{now});
   // What is wanted may have changed meanwhile.
@@ -65,12 +65,12 @@
   }
 }
 
-void Mover::on(Time now, const ReportDue& due, Effects& out) {
+void Mover::on(Time now, const ReportTimerExpired& due, Effects& out) {
   if (!active()) {
     reporting_ = false;
     return;
   }
-  out.emplace_back(WriteReport{{settings_.relay, settings_.zone, state_->id, settings_.build, ++beat_,
+  out.emplace_back(WriteReport{{settings_.relay, settings_.zone, state_->id, settings_.build, ++heartbeat_,
                                 trouble_, asked_ ? due.waits : "", due.sums}});
   out.emplace_back(SetReportTimer{now + settings_.report_every});
 }
--- a/src/release/mover.hpp
+++ b/src/release/mover.hpp
@@ -24,13 +24,13 @@
 };
 struct SlotGranted {};  // the relay goes out for this now
 struct MoveFailed {     // it serves on, with the build that it had
-  std::string why;
+  std::string reason;
 };
-struct ReportDue {
+struct ReportTimerExpired {
   Sums sums;
   std::string waits;  // for a slot
 };
-using MoverInput = std::variant<StateSeen, SlotGranted, MoveFailed, ReportDue>;
+using MoverInput = std::variant<StateSeen, SlotGranted, MoveFailed, ReportTimerExpired>;
 
 // --- What the caller does
 struct AskSlot {};
@@ -54,8 +54,8 @@
 
   // A process that took over from another knows by its own name which build it is; what it was doing is over.
   template <class Archive>
-  void remember(Archive& archive) {
-    archive(beat_);
+  void serialize_state(Archive& archive) {
+    archive(heartbeat_);
   }
 
  private:
@@ -63,7 +63,7 @@
   void on(Time now, const StateSeen& seen, Effects& out);
   void on(Time now, const SlotGranted&, Effects& out);
   void on(Time now, const MoveFailed& failed, Effects& out);
-  void on(Time now, const ReportDue& due, Effects& out);
+  void on(Time now, const ReportTimerExpired& due, Effects& out);
   bool active() const { return state_ && !is_over(state_->phase); }
   std::optional<std::string> wanted() const;
 
@@ -74,7 +74,7 @@
   bool reporting_ = false;
   // Guards against trying a build again that could not be moved to: by the release's id and the build.
   std::string failed_, trouble_;
-  std::uint64_t beat_ = 0;
+  std::uint64_t heartbeat_ = 0;
 };
 
 }  // namespace fennellane::release
--- a/src/release/state.cpp
+++ b/src/release/state.cpp
@@ -15,7 +15,7 @@
 
 // Whether the share k1/n1 is above k2/n2 by more than chance: the score test of two proportions.
 bool above(std::uint64_t k1, std::uint64_t n1, std::uint64_t k2, std::uint64_t n2, const HealthTest& test) {
-  if (n1 < test.least || n2 < test.least) return false;
+  if (n1 < test.min_samples || n2 < test.min_samples) return false;
   const auto a = static_cast<double>(n1), b = static_cast<double>(n2);
   const double p1 = static_cast<double>(k1) / a, p2 = static_cast<double>(k2) / b;
   const double pooled = static_cast<double>(k1 + k2) / (a + b);
@@ -118,7 +118,7 @@
 }
 
 bool tells(const Sums& moved, const Sums& rest, const HealthTest& test) {
-  return moved.ends >= test.least && rest.ends >= test.least;
+  return moved.ends >= test.min_samples && rest.ends >= test.min_samples;
 }
 
 std::string worse(const Sums& m, const Sums& r, const HealthTest& test) {
--- a/src/release/state.hpp
+++ b/src/release/state.hpp
@@ -46,7 +46,7 @@
   std::uint32_t wave = 0;                       // the one under way
   std::vector<std::vector<std::string>> waves;  // relays by name; empty while gathering
   bool auto_back = true;                        // a breach of health returns all by itself
-  std::string why;                              // it was halted or returned
+  std::string reason;                           // it was halted or returned
   Sums base;  // of the relays that had not moved, while the wave before was watched: what the last is held
               // against
   bool operator==(const State&) const = default;
@@ -65,9 +65,9 @@
   std::string relay, zone;
   std::string release;  // the release's id
   std::string build;
-  std::uint64_t beat = 0;  // grows with each report of a process
-  std::string trouble;     // it was to move and could not; empty: none
-  std::string waits;       // for a slot; empty: it does not
+  std::uint64_t heartbeat = 0;  // grows with each report of a process
+  std::string trouble;          // it was to move and could not; empty: none
+  std::string waits;            // for a slot; empty: it does not
   Sums sums;
 };
 
@@ -77,9 +77,9 @@
 
 // Holds those that have moved against the rest. Empty: nothing says that they are worse.
 struct HealthTest {
-  std::uint64_t least = 50;  // of each side, before anything is said
-  double z = 4;              // one-sided score test of two shares, pooled: 3 in 100,000 by chance
-  double difference = 0.02;  // and so much worse at least
+  std::uint64_t min_samples = 50;  // of each side, before anything is said
+  double z = 4;                    // one-sided score test of two shares, pooled: 3 in 100,000 by chance
+  double difference = 0.02;        // and so much worse at least
   bool operator==(const HealthTest&) const = default;
 };
 std::string worse(const Sums& moved, const Sums& rest, const HealthTest& test);
--- a/src/replica/copy.hpp
+++ b/src/replica/message_copies.hpp
@@ -10,25 +10,25 @@
 namespace fennellane::replica {
 
 // Over the streams of each range and what is so of each; ends do not count, as those are forgotten.
-Digests digests_of(const std::map<StreamId, Record>& held);
+Digests compute_digests(const std::map<StreamId, Record>& held);
 
-class Copy {
+class MessageCopies {
  public:
   // False: it is of an older epoch than what is known, and nothing has changed.
-  bool take(const Records& records);
+  bool apply(const Records& records);
   // All that the owner holds in one range, under that epoch; what it does not name has ended.
-  bool take(const Range& range, Version as_of);
+  bool apply(const Range& range, Version as_of);
   // The ranges are equal to the owner's now.
-  void caught_up(Version position) { position_ = std::max(position_, position); }
+  void mark_caught_up(Version position) { position_ = std::max(position_, position); }
 
   Version position() const { return position_; }
-  Digests digests() const { return digests_of(held_); }
+  Digests digests() const { return compute_digests(held_); }
   const std::map<StreamId, Record>& held() const { return held_; }
   std::size_t bytes() const { return bytes_; }  // of ids and bodies, and a set sum for each stream
 
  private:
-  void join_in(const Record& record);
-  void drop(std::map<StreamId, Record>::iterator it);
+  void merge(const Record& record);
+  void erase(std::map<StreamId, Record>::iterator it);
 
   Version position_;
   std::map<StreamId, Record> held_;  // that have not ended
@@ -36,6 +36,6 @@
 };
 
 // What one stream counts for, beside its id and body.
-inline constexpr std::size_t kStreamBytes = 256;
+inline constexpr std::size_t kStreamOverheadBytes = 256;
 
 }  // namespace fennellane::replica
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -33,20 +33,20 @@
   std::string relay;
   Token epoch = 0;
 };
-struct Welcome {
+struct HelloAccepted {
   std::string relay;
   Version position;  // the newest of this owner's records, all before it included; 0.0: nothing
 };
-struct Refuse {  // no copy is kept for this owner
-  std::string why;
+struct HelloRefused {  // no copy is kept for this owner
+  std::string reason;
 };
 struct Records {
-  Version upto;  // with these, all up to here is known
+  Version up_to;  // with these, all up to here is known
   std::vector<Record> records;
   std::uint64_t probe = 0;  // grows with each; a Confirm names the newest it has seen
 };
-struct DigestsAsked {};  // from the owner: what does your copy look like?
-struct DigestsTold {
+struct DigestsRequested {};  // from the owner: what does your copy look like?
+struct DigestsReported {
   Digests digests{};
 };
 struct Range {  // all that the owner holds in this range; what is not in it has ended
@@ -54,20 +54,20 @@
   std::vector<Record> records;
 };
 struct Confirm {
-  Version upto;
+  Version up_to;
   std::uint64_t probe = 0;
   // From hearing that probe on this relay does not take over for `promise`; 0: it promises nothing any more.
   Time promise{};
 };
-struct AskTaken {  // by one that has come back
+struct TakeoverQuery {  // by one that has come back
   std::string relay;
   Token epoch = 0;  // under which its messages were taken over
 };
-struct Taken {
+struct TakeoverReport {
   bool known = false;  // false: this relay has taken nothing over under that epoch
   std::vector<StreamId> streams;
 };
-using Message =
-    std::variant<Hello, Welcome, Refuse, Records, DigestsAsked, DigestsTold, Range, Confirm, AskTaken, Taken>;
+using Message = std::variant<Hello, HelloAccepted, HelloRefused, Records, DigestsRequested, DigestsReported,
+                             Range, Confirm, TakeoverQuery, TakeoverReport>;
 
 }  // namespace fennellane::replica
--- a/src/replica/placement.cpp
+++ b/src/replica/placement.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-std::vector<Peer> holders_for(const std::string& relay, const std::string& zone, const std::vector<Peer>& all,
-                              std::size_t copies) {
+std::vector<Peer> choose_holders(const std::string& relay, const std::string& zone,
+                                 const std::vector<Peer>& all, std::size_t copies) {
   std::vector<std::pair<std::uint64_t, const Peer*>> ranked;
   for (const Peer& peer : all)
     if (peer.relay != relay) ranked.emplace_back(weight(relay, peer.relay), &peer);
--- a/src/replica/placement.hpp
+++ b/src/replica/placement.hpp
@@ -17,7 +17,7 @@
 
 // So many of `all`, the best first, none of them `relay` itself: of other zones than its own before those of
 // its own, since a zone may be lost as a whole, and each further zone before a second one of the same.
-std::vector<Peer> holders_for(const std::string& relay, const std::string& zone, const std::vector<Peer>& all,
-                              std::size_t copies);
+std::vector<Peer> choose_holders(const std::string& relay, const std::string& zone,
+                                 const std::vector<Peer>& all, std::size_t copies);
 
 }  // namespace fennellane::replica
--- a/src/replica/record.cpp
+++ b/src/replica/record.cpp
@@ -32,7 +32,7 @@
   return true;
 }
 
-std::optional<JournalEntry> taken_over(const Record& record) {
+std::optional<JournalEntry> entry_for_takeover(const Record& record) {
   if (record.ended || !record.has_body) return std::nullopt;
   return record.entry;
 }
--- a/src/replica/record.hpp
+++ b/src/replica/record.hpp
@@ -43,6 +43,6 @@
 
 // What a relay that takes over makes of a message: an attempt that was out may have run. Nothing: it has
 // ended, or has no body.
-std::optional<JournalEntry> taken_over(const Record& record);
+std::optional<JournalEntry> entry_for_takeover(const Record& record);
 
 }  // namespace fennellane::replica
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -36,18 +36,18 @@
   throw ConfigError(std::string(what) + " is not a JSON object");
 }
 
-const Json::Value& member(const Json::Value& in, const char* name, Json::ValueType type) {
+const Json::Value& required_member(const Json::Value& in, const char* name, Json::ValueType type) {
   const Json::Value& value = in[name];
   const bool fits = type == Json::realValue ? value.isNumeric() : value.type() == type;
   if (!fits) throw ConfigError(std::string(name) + " is missing or of a wrong type");
   return value;
 }
-std::string text_of(const Json::Value& in, const char* name) {
-  return member(in, name, Json::stringValue).asString();
+std::string string_member(const Json::Value& in, const char* name) {
+  return required_member(in, name, Json::stringValue).asString();
 }
-double number_of(const Json::Value& in, const char* name, double absent, double most) {
+double number_member(const Json::Value& in, const char* name, double absent, double most) {
   if (!in.isMember(name)) return absent;
-  const double value = member(in, name, Json::realValue).asDouble();
+  const double value = required_member(in, name, Json::realValue).asDouble();
   if (!std::isfinite(value) || value < 0 || value > most) {
     throw ConfigError(std::string(name) + " is out of range");
   }
@@ -55,7 +55,7 @@
 }
 
 // As the simulator writes plain values: spaces and commas in them turn into _.
-std::string plain(const Json::Value& value) {
+std::string plain_text(const Json::Value& value) {
   if (value.isBool()) return value.asBool() ? "true" : "false";
   if (value.isUInt64()) return std::to_string(value.asUInt64());
   if (value.isInt64()) return std::to_string(value.asInt64());
@@ -83,24 +83,24 @@
     for (Json::ArrayIndex i = 0; i < value.size(); ++i) {
       if (objects) flatten(value[i], path + "." + std::to_string(i), out);
       if (!objects && i > 0) joined += ',';
-      if (!objects) joined += plain(value[i]);
+      if (!objects) joined += plain_text(value[i]);
     }
     if (objects || value.empty()) out[path + ".count"] = std::to_string(value.size());
     if (!objects) out[path] = joined;
   } else {
-    out[path] = plain(value);
+    out[path] = plain_text(value);
   }
 }
 
-HostList read_hosts(const Json::Value& in, const wire::BootInfo& boot) {
+HostList read_hosts(const Json::Value& in, const wire::InstanceSettings& boot) {
   HostList list;
-  list.version = static_cast<std::uint64_t>(number_of(in, "version", 0, 1e15));
-  list.whole = member(in, "full", Json::booleanValue).asBool();
-  for (const Json::Value& line : member(in, "servers", Json::arrayValue)) {
+  list.version = static_cast<std::uint64_t>(number_member(in, "version", 0, 1e15));
+  list.full = required_member(in, "full", Json::booleanValue).asBool();
+  for (const Json::Value& line : required_member(in, "servers", Json::arrayValue)) {
     if (!line.isObject()) throw ConfigError("a line of servers is no object");
     HostEntry host;
-    host.id = text_of(line, "id");
-    const std::string state = text_of(line, "state");
+    host.id = string_member(line, "id");
+    const std::string state = string_member(line, "state");
     if (state == "ready") {
       host.condition = Condition::ready;
     } else if (state == "draining") {
@@ -110,11 +110,11 @@
     } else {
       throw ConfigError("a host's state is unknown: " + state);
     }
-    host.address = parse_address(text_of(line, "addr"));
-    host.zone = position_of(boot.zones, plain(line["zone"]));
-    host.kind = position_of(boot.kinds, plain(line["kind"]));
-    host.destination = static_cast<std::uint32_t>(number_of(line, "cell", 0, 65535));
-    host.rate = boot.rates_told ? number_of(line, "weight", 0, 1e9) : 0;
+    host.address = parse_address(string_member(line, "addr"));
+    host.zone = position_of(boot.zones, plain_text(line["zone"]));
+    host.kind = position_of(boot.kinds, plain_text(line["kind"]));
+    host.destination = static_cast<std::uint32_t>(number_member(line, "cell", 0, 65535));
+    host.rate = boot.rates_listed ? number_member(line, "weight", 0, 1e9) : 0;
     list.hosts.push_back(std::move(host));
   }
   return list;
@@ -128,7 +128,7 @@
 }
 
 // Guards against an address that is found to be of no use only when it is connected to: there is no DNS.
-Address numeric_address(const std::string& text) {
+Address parse_numeric_address(const std::string& text) {
   Address address = parse_address(text);
   if (!is_numeric_host(address.host)) throw ConfigError("no numeric address: " + text);
   return address;
@@ -137,12 +137,12 @@
 Address parse_address(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   const auto port =
-      colon == std::string_view::npos ? std::nullopt : whole_number(text.substr(colon + 1), 65535);
+      colon == std::string_view::npos ? std::nullopt : parse_unsigned(text.substr(colon + 1), 65535);
   if (!port || colon == 0) throw ConfigError("no address with a port: " + std::string(text));
   return {std::string(text.substr(0, colon)), static_cast<std::uint16_t>(*port)};
 }
 
-HostList parse_hosts(std::string_view json, const wire::BootInfo& boot) {
+HostList parse_hosts(std::string_view json, const wire::InstanceSettings& boot) {
   try {
     return read_hosts(parse_json(json, "the list"), boot);
   } catch (const Json::Exception& e) {
@@ -150,10 +150,10 @@
   }
 }
 
-std::string hosts_json(const HostList& list, const wire::BootInfo& boot) {
+std::string hosts_json(const HostList& list, const wire::InstanceSettings& boot) {
   Json::Value out;
   out["version"] = Json::UInt64(list.version);
-  out["full"] = list.whole;
+  out["full"] = list.full;
   out["servers"] = Json::Value(Json::arrayValue);
   for (const HostEntry& host : list.hosts) {
     Json::Value line;
@@ -177,49 +177,51 @@
   try {
     const Json::Value in = parse_json(json, "the configuration");
     static const Json::Value schema = parse_json(kConfigSchema, "the schema");
-    if (const auto fault = schema_fault(in, schema)) {
+    if (const auto fault = find_schema_error(in, schema)) {
       throw ConfigError("the configuration: " + fault->path + (fault->path.empty() ? "" : ": ") +
-                        fault->what);
+                        fault->message);
     }
     Config config;
-    config.name = text_of(in, "name");
-    config.listen = numeric_address(text_of(in, "listen"));
-    config.discovery = numeric_address(text_of(in, "discovery"));
-    const std::string seed = in.isMember("seed") ? text_of(in, "seed") : "0";
+    config.name = string_member(in, "name");
+    config.listen = parse_numeric_address(string_member(in, "listen"));
+    config.discovery = parse_numeric_address(string_member(in, "discovery"));
+    const std::string seed = in.isMember("seed") ? string_member(in, "seed") : "0";
     std::uint64_t salt = 0;
     for (char c : seed) {
       const auto digit = std::string_view("0123456789abcdef").find(c);
       if (digit == std::string_view::npos) throw ConfigError("seed is no hexadecimal number");
       salt = salt << 4 | digit;
     }
-    const Json::Value& limits =
-        in.isMember("limits") ? member(in, "limits", Json::objectValue) : Json::Value::nullSingleton();
+    const Json::Value& limits = in.isMember("limits") ? required_member(in, "limits", Json::objectValue)
+                                                      : Json::Value::nullSingleton();
     if (limits.isObject()) {
-      Allowance& a = config.allowance;
-      a.sockets = static_cast<std::size_t>(number_of(limits, "sockets", static_cast<double>(a.sockets), 1e6));
-      a.memory_mb =
-          static_cast<std::uint64_t>(number_of(limits, "memory_mb", static_cast<double>(a.memory_mb), 1e6));
-      a.disk_mb = number_of(limits, "disk_mb", a.disk_mb, 1e6);
+      ResourceLimits& a = config.allowance;
+      a.sockets =
+          static_cast<std::size_t>(number_member(limits, "sockets", static_cast<double>(a.sockets), 1e6));
+      a.memory_mb = static_cast<std::uint64_t>(
+          number_member(limits, "memory_mb", static_cast<double>(a.memory_mb), 1e6));
+      a.disk_mb = number_member(limits, "disk_mb", a.disk_mb, 1e6);
     }
     wire::SettingsMap values;
-    flatten(member(in, "settings", Json::objectValue), "", values);
-    config.settings = values;
+    flatten(required_member(in, "settings", Json::objectValue), "", values);
+    config.raw_settings = values;
     config.boot = wire::read_settings(std::move(values), salt);
     starlinghook::Settings& s = config.boot.settings;
     s.can_probe = false;        // PROTOCOL has no probes
     s.list_on_request = false;  // discovery's watch is the relay's own
-    if (in.isMember("known")) config.known = read_hosts(member(in, "known", Json::objectValue), config.boot);
+    if (in.isMember("known"))
+      config.known_hosts = read_hosts(required_member(in, "known", Json::objectValue), config.boot);
     config.seed = salt;
     fill_limits(config);
     return config;
-  } catch (const wire::BadInput& e) {
+  } catch (const wire::InputError& e) {
     throw ConfigError(e.what());
   } catch (const Json::Exception& e) {
     throw ConfigError(e.what());
   }
 }
 
-std::vector<std::string> fixed_parts_changed(const Config& running, const Config& wanted) {
+std::vector<std::string> changed_fixed_parts(const Config& running, const Config& wanted) {
   std::vector<std::string> parts;
   const auto compare = [&parts](bool same, const char* part) {
     if (!same) parts.emplace_back(part);
@@ -227,7 +229,7 @@
   compare(running.name == wanted.name, "name");
   compare(running.listen.text() == wanted.listen.text(), "listen");
   compare(running.allowance == wanted.allowance, "limits");
-  compare(running.settings == wanted.settings, "settings");
+  compare(running.raw_settings == wanted.raw_settings, "settings");
   compare(running.upgrade == wanted.upgrade, "upgrade");
   compare(running.record == wanted.record, "record");
   compare(running.fleet == wanted.fleet, "fleet");
@@ -236,12 +238,12 @@
 
 void fill_limits(Config& config) {
   const starlinghook::Settings& s = config.boot.settings;
-  Allowance allowance = config.allowance;
+  ResourceLimits allowance = config.allowance;
   if (config.record && config.record->folder.empty()) {
-    allowance.disk_mb -= static_cast<double>(config.record->bytes) / 1e6;
+    allowance.disk_mb -= static_cast<double>(config.record->file_bytes) / 1e6;
   }
-  config.limits =
-      make_limits(allowance, s.slots, s.max_held, s.connect_timeout, s.connection_idle, config.keeps_list);
+  config.limits = make_limits(allowance, s.slots, s.max_held, s.connect_timeout, s.connection_idle_timeout,
+                              config.stores_list);
 }
 
 Config read_config(const std::string& path, const std::string& settings_path) {
--- a/src/settings/consul_settings.hpp
+++ b/src/settings/consul_settings.hpp
@@ -33,7 +33,7 @@
   std::string address;  // numeric; that others reach this relay at
   std::uint16_t port = 0;
   Time ttl = std::chrono::seconds(10);
-  Time forget_after = std::chrono::minutes(10);
+  Time deregister_after = std::chrono::minutes(10);
   std::string relay, zone;  // its Meta, for the disruption budget; empty: not told
   bool operator==(const ConsulRegistration&) const = default;
 };
@@ -43,9 +43,9 @@
   std::string token;  // never logged
   std::string datacenter;
   Consistency consistency = Consistency::normal;
-  Time wait = std::chrono::seconds(55);
-  Time answer = std::chrono::seconds(10);
-  Time most_stale = std::chrono::seconds(5);
+  Time blocking_wait = std::chrono::seconds(55);
+  Time answer_timeout = std::chrono::seconds(10);
+  Time max_stale = std::chrono::seconds(5);
   double queries_per_second = 50;
   std::vector<ConsulService> services;
   ConsulMetaKeys meta;
--- a/src/settings/fleet_settings.hpp
+++ b/src/settings/fleet_settings.hpp
@@ -33,12 +33,13 @@
 };
 
 struct FleetSettings {
-  std::string prefix = "fennellane";  // of all keys in Consul
-  std::vector<std::string> roles;     // that this relay may hold
+  std::string key_prefix = "fennellane";  // of all keys in Consul
+  std::vector<std::string> roles;         // that this relay may hold
   lease::Timing timing;
-  Time wait = std::chrono::seconds(15);  // the longest that a read of a role's key waits for a change
+  Time blocking_wait =
+      std::chrono::seconds(15);  // the longest that a read of a role's key waits for a change
   fleet::RefreshSettings refresh;
-  std::string discovery;       // its name, where it has several addresses; empty: its address names it
+  std::string discovery_name;  // its name, where it has several addresses; empty: its address names it
   fleet::SweepSettings sweep;  // its service is empty where "sweep" is not among the roles
   std::optional<DrainSettings> drain;
   std::optional<ReleaseSettings> release;  // with `drain`
@@ -51,21 +52,23 @@
 }
 // The key of a role's lock.
 inline std::string role_key(const FleetSettings& settings, const std::string& role) {
-  return settings.prefix + "/role/" + role;
+  return settings.key_prefix + "/role/" + role;
 }
 // The semaphore's: contenders' keys and the lock key lie below.
-inline std::string budget_prefix(const FleetSettings& settings) { return settings.prefix + "/budget/"; }
+inline std::string budget_prefix(const FleetSettings& settings) { return settings.key_prefix + "/budget/"; }
 inline std::string budget_key(const FleetSettings& settings) { return budget_prefix(settings) + ".lock"; }
-inline std::string release_key(const FleetSettings& settings) { return settings.prefix + "/release/state"; }
+inline std::string release_key(const FleetSettings& settings) {
+  return settings.key_prefix + "/release/state";
+}
 inline std::string reports_prefix(const FleetSettings& settings) {
-  return settings.prefix + "/release/relay/";
+  return settings.key_prefix + "/release/relay/";
 }
 
 inline std::string verdict_key(const FleetSettings& settings) {
-  return settings.prefix + "/ejection/verdict";
+  return settings.key_prefix + "/ejection/verdict";
 }
-inline std::string ailing_prefix(const FleetSettings& settings) {
-  return settings.prefix + "/ejection/relay/";
+inline std::string degraded_prefix(const FleetSettings& settings) {
+  return settings.key_prefix + "/ejection/relay/";
 }
 
 }  // namespace fennellane
--- a/src/settings/log_settings.hpp
+++ b/src/settings/log_settings.hpp
@@ -5,11 +5,11 @@
 
 namespace fennellane {
 
-enum class LogForm { plain, logfmt, json };
+enum class LogFormat { plain, logfmt, json };
 
 struct LogSettings {
-  LogForm form = LogForm::plain;
-  std::size_t most_lines = 5000;
+  LogFormat format = LogFormat::plain;
+  std::size_t max_lines = 5000;
 };
 
 }  // namespace fennellane
--- a/src/settings/record_settings.hpp
+++ b/src/settings/record_settings.hpp
@@ -7,8 +7,8 @@
 namespace fennellane {
 
 struct RecordSettings {
-  std::uint64_t bytes = 4 << 20;  // of the file, header included
-  std::string folder;             // empty: the state folder, and then the file counts for its disk
+  std::uint64_t file_bytes = 4 << 20;  // of the file, header included
+  std::string folder;                  // empty: the state folder, and then the file counts for its disk
   bool operator==(const RecordSettings&) const = default;
 };
 
--- a/src/settings/schema_check.cpp
+++ b/src/settings/schema_check.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // What the schema wants at a path, in its own words: the library says only that it is not so.
-std::string wanted_at(const Json::Value& schema, const std::vector<std::string>& names) {
+std::string expected_at(const Json::Value& schema, const std::vector<std::string>& names) {
   const Json::Value* at = &schema;
   for (const std::string& name : names) {
     const Json::Value& next = at->isMember("items") ? (*at)["items"] : (*at)["properties"][name];
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::optional<SchemaFault> schema_fault(const Json::Value& value, const Json::Value& schema) {
+std::optional<SchemaError> find_schema_error(const Json::Value& value, const Json::Value& schema) {
   valijson::Schema parsed;
   valijson::SchemaParser().populateSchema(valijson::adapters::JsonCppAdapter(schema), parsed);
   valijson::Validator validator;
@@ -42,7 +42,7 @@
   while (results.popError(error)) {
     if (error.context.size() >= deepest.context.size()) deepest = error;
   }
-  SchemaFault fault;
+  SchemaError fault;
   std::vector<std::string> names;
   for (const std::string& piece : deepest.context) {  // <root>, [consul], [service], [0]
     if (piece.size() < 2 || piece.front() != '[') continue;
@@ -51,8 +51,8 @@
     const bool place = std::all_of(name.begin(), name.end(), [](char c) { return c >= '0' && c <= '9'; });
     fault.path += place ? piece : (fault.path.empty() ? "" : ".") + name;
   }
-  fault.what = deepest.description + wanted_at(schema, names);
-  std::replace(fault.what.begin(), fault.what.end(), '\n', ' ');
+  fault.message = deepest.description + expected_at(schema, names);
+  std::replace(fault.message.begin(), fault.message.end(), '\n', ' ');
   return fault;
 }
 
--- a/src/settings/schema_check.hpp
+++ b/src/settings/schema_check.hpp
@@ -10,9 +10,9 @@
 
 // Where the first fault lies ("consul.service[0].name"; empty = the whole) and what is wrong there, in one
 // line.
-struct SchemaFault {
-  std::string path, what;
+struct SchemaError {
+  std::string path, message;
 };
-std::optional<SchemaFault> schema_fault(const Json::Value& value, const Json::Value& schema);
+std::optional<SchemaError> find_schema_error(const Json::Value& value, const Json::Value& schema);
 
 }  // namespace fennellane
--- a/src/settings/settings_file.cpp
+++ b/src/settings/settings_file.cpp
@@ -15,18 +15,19 @@
 namespace {
 
 // What only the platform says where there is one.
-constexpr const char* kOfThePlatform[] = {"name",  "listen", "limits", "zones",
-                                          "kinds", "class",  "tenant", "delivery"};
+constexpr const char* kPlatformMembers[] = {"name",  "listen", "limits", "zones",
+                                            "kinds", "class",  "tenant", "delivery"};
 
-class File {
+class SettingsFile {
  public:
-  File(std::string_view text, const std::string& path) : path_(path) {
+  SettingsFile(std::string_view text, const std::string& path) : path_(path) {
     try {
       document_ = read_sexp(text, settings_schema());
     } catch (const SexpError& e) {
       throw ConfigError(path + ":" + e.what());
     }
-    if (const auto fault = schema_fault(document_.value, settings_schema())) fail(fault->path, fault->what);
+    if (const auto fault = find_schema_error(document_.value, settings_schema()))
+      fail(fault->path, fault->message);
   }
   [[noreturn]] void fail(const std::string& at, const std::string& what) const {
     throw ConfigError(path_ + ":" + std::to_string(document_.line_of(at)) + ": " +
@@ -35,7 +36,7 @@
   const Json::Value& value() const { return document_.value; }
   Address address(const Json::Value& in, const std::string& at) const {
     try {
-      const Address address = numeric_address(in.asString());
+      const Address address = parse_numeric_address(in.asString());
       if (address.port > 0) return address;
     } catch (const ConfigError&) {
     }
@@ -47,38 +48,38 @@
   SexpDocument document_;
 };
 
-std::string text_of(const Json::Value& in, const char* name, const std::string& absent = "") {
+std::string string_member(const Json::Value& in, const char* name, const std::string& absent = "") {
   return in.isMember(name) ? in[name].asString() : absent;
 }
-double number_of(const Json::Value& in, const char* name, double absent) {
+double number_member(const Json::Value& in, const char* name, double absent) {
   return in.isMember(name) ? in[name].asDouble() : absent;
 }
-std::uint64_t count_of(const Json::Value& in, const char* name, std::uint64_t absent) {
+std::uint64_t count_member(const Json::Value& in, const char* name, std::uint64_t absent) {
   return in.isMember(name) ? in[name].asUInt64() : absent;
 }
-Time ms_of(const Json::Value& in, const char* name, Time absent) {
+Time ms_member(const Json::Value& in, const char* name, Time absent) {
   return in.isMember(name) ? Time(std::chrono::milliseconds(in[name].asInt64())) : absent;
 }
-std::string joined(const Json::Value& names) {
+std::string comma_joined(const Json::Value& names) {
   std::string text;
   for (const Json::Value& name : names) text += (text.empty() ? "" : ",") + name.asString();
   return text;
 }
 
 // The settings that the platform would give, in its own names and units, from the operators' ones.
-wire::SettingsMap module_settings(const File& file) {
+wire::SettingsMap module_settings(const SettingsFile& file) {
   const Json::Value& in = file.value();
   const Json::Value& delivery = in["delivery"];
   const auto us = [&delivery](const char* name, std::uint64_t absent_ms) {
-    return std::to_string(count_of(delivery, name, absent_ms) * 1000);
+    return std::to_string(count_member(delivery, name, absent_ms) * 1000);
   };
   const auto count = [&delivery](const char* name, std::uint64_t absent) {
-    return std::to_string(count_of(delivery, name, absent));
+    return std::to_string(count_member(delivery, name, absent));
   };
   wire::SettingsMap out;
   out["n_instances"] = count("relays", 1);
-  out["zones"] = joined(in["zones"]);
-  out["skus"] = joined(in["kinds"]);
+  out["zones"] = comma_joined(in["zones"]);
+  out["skus"] = comma_joined(in["kinds"]);
   if (!in.isMember("class")) file.fail("class", "at least one class of message is needed");
   if (!in.isMember("tenant")) file.fail("tenant", "at least one tenant is needed");
   out["request_classes.count"] = std::to_string(in["class"].size());
@@ -92,14 +93,14 @@
     out[at + "effect"] = c["effect"].asString();
     out[at + "aim_us"] = std::to_string(c["aim-ms"].asInt64() * 1000);
     out[at + "give_up_us"] = std::to_string(c["give-up-ms"].asInt64() * 1000);
-    out[at + "worth"] = std::to_string(number_of(c, "worth", 1));
-    out[at + "late_worth"] = std::to_string(number_of(c, "late-worth", 0));
+    out[at + "worth"] = std::to_string(number_member(c, "worth", 1));
+    out[at + "late_worth"] = std::to_string(number_member(c, "late-worth", 0));
   }
   out["orgs.count"] = std::to_string(in["tenant"].size());
   for (Json::ArrayIndex i = 0; i < in["tenant"].size(); ++i) {
     const std::string at = "orgs." + std::to_string(i) + ".";
     out[at + "name"] = in["tenant"][i]["name"].asString();
-    out[at + "quota_per_s"] = std::to_string(number_of(in["tenant"][i], "rate", 0));
+    out[at + "quota_per_s"] = std::to_string(number_member(in["tenant"][i], "rate", 0));
   }
   out["domain.max_calls"] = count("slots", 16);
   out["domain.late"] = "by_half";
@@ -115,21 +116,21 @@
   out["guarantees.answer_slack_us"] = "20000";
   out["guarantees.stop_sending_within_us"] = "1000000";
   out["guarantees.cold_us"] = us("cold-ms", 10000);
-  out["guarantees.cold_from"] = std::to_string(number_of(delivery, "cold-from", 0.16));
-  out["guarantees.overload_factor"] = std::to_string(number_of(delivery, "overload-factor", 2));
+  out["guarantees.cold_from"] = std::to_string(number_member(delivery, "cold-from", 0.16));
+  out["guarantees.overload_factor"] = std::to_string(number_member(delivery, "overload-factor", 2));
   out["guarantees.fall_us"] = us("overload-ms", 2000);
   return out;
 }
 
-void read_allowance(const Json::Value& in, Allowance& allowance) {
-  allowance.sockets = count_of(in, "sockets", allowance.sockets);
-  allowance.memory_mb = count_of(in, "memory-mb", allowance.memory_mb);
-  allowance.disk_mb = number_of(in, "disk-mb", allowance.disk_mb);
+void read_allowance(const Json::Value& in, ResourceLimits& allowance) {
+  allowance.sockets = count_member(in, "sockets", allowance.sockets);
+  allowance.memory_mb = count_member(in, "memory-mb", allowance.memory_mb);
+  allowance.disk_mb = number_member(in, "disk-mb", allowance.disk_mb);
 }
 
-HostList read_hosts(const File& file, const wire::BootInfo& boot) {
+HostList read_hosts(const SettingsFile& file, const wire::InstanceSettings& boot) {
   HostList list;
-  list.whole = true;
+  list.full = true;
   std::set<std::string> ids;
   const Json::Value& in = file.value()["host"];
   for (Json::ArrayIndex i = 0; i < in.size(); ++i) {
@@ -139,16 +140,16 @@
     if (!ids.insert(host.id).second) file.fail(at + ".id", "another host has this id: " + host.id);
     host.address = file.address(in[i]["address"], at + ".address");
     host.destination = in[i]["destination"].asUInt();
-    host.zone = position_of(boot.zones, text_of(in[i], "zone"));
-    host.kind = position_of(boot.kinds, text_of(in[i], "kind"));
-    host.rate = number_of(in[i], "rate", 0);
+    host.zone = position_of(boot.zones, string_member(in[i], "zone"));
+    host.kind = position_of(boot.kinds, string_member(in[i], "kind"));
+    host.rate = number_member(in[i], "rate", 0);
     list.hosts.push_back(std::move(host));
   }
   return list;
 }
 
 // The first line of the file. Guards the log and the wire against a token with other bytes.
-std::string read_token(const File& file, const std::string& path) {
+std::string read_token(const SettingsFile& file, const std::string& path) {
   std::ifstream in(path);
   std::string token;
   if (!in || !std::getline(in, token)) file.fail("consul.token-file", "cannot be read: " + path);
@@ -159,20 +160,20 @@
   return token;
 }
 
-ConsulSettings read_consul(const File& file, const Config& config) {
+ConsulSettings read_consul(const SettingsFile& file, const Config& config) {
   const Json::Value& in = file.value()["consul"];
   ConsulSettings c;
   c.agent = file.address(in["address"], "consul.address");
   if (in.isMember("token-file")) c.token = read_token(file, in["token-file"].asString());
-  c.datacenter = text_of(in, "datacenter");
-  const std::string consistency = text_of(in, "consistency", "default");
+  c.datacenter = string_member(in, "datacenter");
+  const std::string consistency = string_member(in, "consistency", "default");
   c.consistency = consistency == "stale"        ? Consistency::stale
                   : consistency == "consistent" ? Consistency::consistent
                                                 : Consistency::normal;
-  c.wait = ms_of(in, "wait-ms", c.wait);
-  c.answer = ms_of(in, "answer-ms", c.answer);
-  c.most_stale = ms_of(in, "most-stale-ms", c.most_stale);
-  c.queries_per_second = number_of(in, "queries-per-second", c.queries_per_second);
+  c.blocking_wait = ms_member(in, "wait-ms", c.blocking_wait);
+  c.answer_timeout = ms_member(in, "answer-ms", c.answer_timeout);
+  c.max_stale = ms_member(in, "most-stale-ms", c.max_stale);
+  c.queries_per_second = number_member(in, "queries-per-second", c.queries_per_second);
   std::set<std::string> names;
   for (Json::ArrayIndex i = 0; i < in["service"].size(); ++i) {
     const Json::Value& from = in["service"][i];
@@ -181,156 +182,159 @@
     if (!names.insert(service.name).second) {
       file.fail("consul.service[" + std::to_string(i) + "].name", "is watched twice: " + service.name);
     }
-    service.tag = text_of(from, "tag");
+    service.tag = string_member(from, "tag");
     if (from.isMember("destination")) service.destination = from["destination"].asUInt();
-    service.zone = text_of(from, "zone");
-    service.kind = text_of(from, "kind");
-    service.rate = number_of(from, "rate", 0);
+    service.zone = string_member(from, "zone");
+    service.kind = string_member(from, "kind");
+    service.rate = number_member(from, "rate", 0);
     c.services.push_back(std::move(service));
   }
   const Json::Value& meta = in["meta"];
-  c.meta.destination = text_of(meta, "destination", c.meta.destination);
-  c.meta.zone = text_of(meta, "zone", c.meta.zone);
-  c.meta.kind = text_of(meta, "kind", c.meta.kind);
-  c.meta.rate = text_of(meta, "rate", c.meta.rate);
+  c.meta.destination = string_member(meta, "destination", c.meta.destination);
+  c.meta.zone = string_member(meta, "zone", c.meta.zone);
+  c.meta.kind = string_member(meta, "kind", c.meta.kind);
+  c.meta.rate = string_member(meta, "rate", c.meta.rate);
   MembershipSettings& m = c.membership;
   m.services = static_cast<std::uint32_t>(c.services.size());
-  m.rate_of = text_of(in, "rate-of", "destination") == "host" ? RateOf::host : RateOf::destination;
-  m.most_loss = number_of(in["loss"], "most-share", m.most_loss);
-  m.loss_hold = ms_of(in["loss"], "hold-ms", m.loss_hold);
+  m.rate_of = string_member(in, "rate-of", "destination") == "host" ? RateOf::host : RateOf::destination;
+  m.max_loss_share = number_member(in["loss"], "most-share", m.max_loss_share);
+  m.loss_hold = ms_member(in["loss"], "hold-ms", m.loss_hold);
   DampingSettings& d = m.damping;
-  d.suppress = number_of(in["damping"], "suppress", d.suppress);
-  d.reuse = number_of(in["damping"], "reuse", d.reuse);
-  d.half_life = ms_of(in["damping"], "half-life-ms", d.half_life);
-  d.most = ms_of(in["damping"], "most-ms", d.most);
+  d.suppress = number_member(in["damping"], "suppress", d.suppress);
+  d.reuse = number_member(in["damping"], "reuse", d.reuse);
+  d.half_life = ms_member(in["damping"], "half-life-ms", d.half_life);
+  d.max_wait = ms_member(in["damping"], "most-ms", d.max_wait);
   if (d.reuse > d.suppress) file.fail("consul.damping.reuse", "is above suppress");
   if (in.isMember("register")) {
     const Json::Value& from = in["register"];
     ConsulRegistration r;
     r.service = from["service"].asString();
-    r.address = text_of(from, "address", config.listen.host);
+    r.address = string_member(from, "address", config.listen.host);
     if (!is_numeric_host(r.address)) file.fail("consul.register.address", "expected a numeric address");
     r.port = config.listen.port;
-    r.ttl = ms_of(from, "ttl-ms", r.ttl);
-    r.forget_after = ms_of(from, "forget-after-ms", r.forget_after);
+    r.ttl = ms_member(from, "ttl-ms", r.ttl);
+    r.deregister_after = ms_member(from, "forget-after-ms", r.deregister_after);
     c.registration = std::move(r);
   }
   return c;
 }
 
-DrainSettings read_drain(const File& file, const Config& config, Time least_ttl) {
+DrainSettings read_drain(const SettingsFile& file, const Config& config, Time least_ttl) {
   const Json::Value& in = file.value()["fleet"]["drain"];
   DrainSettings d;
   drain::SlotSettings& s = d.slot;
   s.relay = config.name;
-  s.zone = text_of(in, "zone");
-  s.cap.most = static_cast<std::uint32_t>(count_of(in, "most", s.cap.most));
-  s.cap.per_zone = static_cast<std::uint32_t>(count_of(in, "per-zone", s.cap.per_zone));
-  s.cap.percent = static_cast<std::uint32_t>(count_of(in, "percent", s.cap.percent));
+  s.zone = string_member(in, "zone");
+  s.cap.max_relays = static_cast<std::uint32_t>(count_member(in, "most", s.cap.max_relays));
+  s.cap.per_zone = static_cast<std::uint32_t>(count_member(in, "per-zone", s.cap.per_zone));
+  s.cap.percent = static_cast<std::uint32_t>(count_member(in, "percent", s.cap.percent));
   if (s.cap == drain::Cap{0, 0, 0}) file.fail("fleet.drain.most", "nothing bounds how many may be out");
   if (s.cap.per_zone > 0 && s.zone.empty()) file.fail("fleet.drain.zone", "is needed for per-zone");
-  d.service = text_of(in, "service", config.consul->registration ? config.consul->registration->service : "");
+  d.service =
+      string_member(in, "service", config.consul->registration ? config.consul->registration->service : "");
   s.census = !d.service.empty();
   if (s.cap.percent > 0 && !s.census) file.fail("fleet.drain.service", "is needed for percent");
   d.on_sigterm = !in.isMember("on-sigterm") || in["on-sigterm"].asBool();
   d.on_upgrade = !in.isMember("on-upgrade") || in["on-upgrade"].asBool();
-  s.ttl = ms_of(in, "ttl-ms", s.ttl);
-  s.renew_every = ms_of(in, "renew-ms", s.renew_every);
-  s.margin = ms_of(in, "margin-ms", s.margin);
-  s.out = ms_of(in, "out-ms", s.out);
-  s.call = ms_of(in, "call-ms", s.call);
-  s.retry = ms_of(in, "retry-ms", s.retry);
+  s.ttl = ms_member(in, "ttl-ms", s.ttl);
+  s.renew_every = ms_member(in, "renew-ms", s.renew_every);
+  s.margin = ms_member(in, "margin-ms", s.margin);
+  s.max_outage = ms_member(in, "out-ms", s.max_outage);
+  s.call = ms_member(in, "call-ms", s.call);
+  s.retry = ms_member(in, "retry-ms", s.retry);
   const std::string wrong = slot_problem(s, least_ttl);
   if (!wrong.empty()) file.fail("fleet.drain", "its times cannot be kept: " + wrong);
   // Guards the budget: a relay that has not come back counts as down before its slot is another's.
-  if (s.census && config.consul->registration && config.consul->registration->ttl >= s.ttl - s.margin - s.out)
+  if (s.census && config.consul->registration &&
+      config.consul->registration->ttl >= s.ttl - s.margin - s.max_outage)
     file.fail("fleet.drain", "its times cannot be kept: the registration's ttl: under ttl - margin - out");
   return d;
 }
 
-ReleaseSettings read_release(const File& file, const Config& config, const FleetSettings& f) {
+ReleaseSettings read_release(const SettingsFile& file, const Config& config, const FleetSettings& f) {
   const Json::Value& in = file.value()["fleet"]["release"];
   if (!f.drain) file.fail("fleet.release", "needs a section drain");
   if (!config.upgrade) file.fail("fleet.release", "needs a section upgrade");
   ReleaseSettings r;
-  r.folder = text_of(in, "folder");
+  r.folder = string_member(in, "folder");
   r.mover.relay = config.name;
   r.mover.zone = f.drain->slot.zone;
-  r.mover.report_every = ms_of(in, "report-ms", r.mover.report_every);
+  r.mover.report_every = ms_member(in, "report-ms", r.mover.report_every);
   release::CoordinatorSettings& c = r.coordinator;
-  c.look = r.mover.report_every;
-  c.gather = ms_of(in, "gather-ms", c.gather);
-  c.watch = ms_of(in, "watch-ms", c.watch);
-  c.most = std::max(c.watch, ms_of(in, "watch-most-ms", c.most));
-  c.move = ms_of(in, "move-ms", c.move);
-  c.silent = ms_of(in, "silent-ms", c.silent);
-  c.test.least = count_of(in, "least-ends", c.test.least);
-  c.test.z = number_of(in, "z", c.test.z);
-  c.test.difference = number_of(in, "difference", c.test.difference);
+  c.check_interval = r.mover.report_every;
+  c.gather = ms_member(in, "gather-ms", c.gather);
+  c.watch = ms_member(in, "watch-ms", c.watch);
+  c.max_watch = std::max(c.watch, ms_member(in, "watch-most-ms", c.max_watch));
+  c.move = ms_member(in, "move-ms", c.move);
+  c.silent = ms_member(in, "silent-ms", c.silent);
+  c.test.min_samples = count_member(in, "least-ends", c.test.min_samples);
+  c.test.z = number_member(in, "z", c.test.z);
+  c.test.difference = number_member(in, "difference", c.test.difference);
   if (c.silent <= r.mover.report_every) file.fail("fleet.release.silent-ms", "is not above report-ms");
   if (c.gather <= r.mover.report_every) file.fail("fleet.release.gather-ms", "is not above report-ms");
   return r;
 }
 
-EjectionSettings read_ejection(const File& file, const Config& config) {
+EjectionSettings read_ejection(const SettingsFile& file, const Config& config) {
   const Json::Value& in = file.value()["fleet"]["ejection"];
   EjectionSettings e;
   ejection::Cap& cap = e.arbiter.cap;
-  cap.percent = static_cast<std::uint32_t>(count_of(in, "percent", cap.percent));
-  cap.all_percent = static_cast<std::uint32_t>(count_of(in, "all-percent", cap.all_percent));
-  cap.voices = static_cast<std::uint32_t>(count_of(in, "voices", cap.voices));
-  cap.voices_percent = static_cast<std::uint32_t>(count_of(in, "voices-percent", cap.voices_percent));
+  cap.percent = static_cast<std::uint32_t>(count_member(in, "percent", cap.percent));
+  cap.all_percent = static_cast<std::uint32_t>(count_member(in, "all-percent", cap.all_percent));
+  cap.voices = static_cast<std::uint32_t>(count_member(in, "voices", cap.voices));
+  cap.voices_percent = static_cast<std::uint32_t>(count_member(in, "voices-percent", cap.voices_percent));
   ejection::ReporterSettings& r = e.reporter;
   r.relay = config.name;
-  r.most = config.limits.fleet_ailing;
-  r.every = e.arbiter.every = ms_of(in, "every-ms", r.every);
-  r.stale = e.arbiter.stale = ms_of(in, "stale-ms", r.stale);
+  r.max_endpoints = config.limits.max_degraded_endpoints;
+  r.every = e.arbiter.every = ms_member(in, "every-ms", r.every);
+  r.stale = e.arbiter.stale = ms_member(in, "stale-ms", r.stale);
   // Guards against a report, or a verdict, that is old before the next one can be there.
   if (ejection::renew_every(r.stale) < r.every)
     file.fail("fleet.ejection.stale-ms", "is under three times every-ms");
   return e;
 }
 
-FleetSettings read_fleet(const File& file, const Config& config) {
+FleetSettings read_fleet(const SettingsFile& file, const Config& config) {
   const Json::Value& in = file.value()["fleet"];
   if (!config.consul) file.fail("fleet", "needs a section consul, for its address");
   FleetSettings f;
-  f.prefix = text_of(in, "prefix", f.prefix);
+  f.key_prefix = string_member(in, "prefix", f.key_prefix);
   for (const Json::Value& role : in["roles"]) {
     if (std::count(f.roles.begin(), f.roles.end(), role.asString()) > 0)
       file.fail("fleet.roles", "is named twice: " + role.asString());
     f.roles.push_back(role.asString());
   }
   lease::Timing& t = f.timing;
-  t.ttl = ms_of(in, "ttl-ms", t.ttl);
-  t.renew_every = ms_of(in, "renew-ms", t.renew_every);
-  t.margin = ms_of(in, "margin-ms", t.margin);
-  t.lock_delay = ms_of(in, "lock-delay-ms", t.lock_delay);
-  t.call = ms_of(in, "call-ms", t.call);
-  t.retry = ms_of(in, "retry-ms", t.retry);
-  t.spread = ms_of(in, "spread-ms", t.spread);
-  f.wait = ms_of(in, "wait-ms", f.wait);
-  const Time least_ttl = ms_of(in, "consul-least-ttl-ms", lease::kConsulLeastTtl);
+  t.ttl = ms_member(in, "ttl-ms", t.ttl);
+  t.renew_every = ms_member(in, "renew-ms", t.renew_every);
+  t.margin = ms_member(in, "margin-ms", t.margin);
+  t.lock_delay = ms_member(in, "lock-delay-ms", t.lock_delay);
+  t.call = ms_member(in, "call-ms", t.call);
+  t.retry = ms_member(in, "retry-ms", t.retry);
+  t.spread = ms_member(in, "spread-ms", t.spread);
+  f.blocking_wait = ms_member(in, "wait-ms", f.blocking_wait);
+  const Time least_ttl = ms_member(in, "consul-least-ttl-ms", lease::kConsulMinTtl);
   const std::string wrong = timing_problem(t, least_ttl);
   if (!wrong.empty()) file.fail("fleet", "its times cannot be kept: " + wrong);
-  f.refresh.beat = ms_of(in["refresh"], "beat-ms", f.refresh.beat);
-  f.refresh.stale = ms_of(in["refresh"], "stale-ms", f.refresh.stale);
-  f.refresh.patience = ms_of(in["refresh"], "patience-ms", f.refresh.patience);
-  f.refresh.spread = ms_of(in["refresh"], "spread-ms", f.refresh.spread);
-  f.discovery = text_of(in["refresh"], "discovery");
-  if (f.refresh.stale <= f.refresh.beat) file.fail("fleet.refresh.stale-ms", "is not above beat-ms");
+  f.refresh.heartbeat = ms_member(in["refresh"], "beat-ms", f.refresh.heartbeat);
+  f.refresh.stale_after = ms_member(in["refresh"], "stale-ms", f.refresh.stale_after);
+  f.refresh.discovery_timeout = ms_member(in["refresh"], "patience-ms", f.refresh.discovery_timeout);
+  f.refresh.fallback_spread = ms_member(in["refresh"], "spread-ms", f.refresh.fallback_spread);
+  f.discovery_name = string_member(in["refresh"], "discovery");
+  if (f.refresh.stale_after <= f.refresh.heartbeat)
+    file.fail("fleet.refresh.stale-ms", "is not above beat-ms");
   if (has_role(f, fleet::kRefreshRole) && config.source != MembershipSource::platform)
     file.fail("fleet.roles", "refresh is for membership platform");
   const Json::Value& sweep = in["sweep"];
-  f.sweep.service =
-      text_of(sweep, "service", config.consul->registration ? config.consul->registration->service : "");
-  f.sweep.every = ms_of(sweep, "every-ms", f.sweep.every);
-  f.sweep.stale_after = ms_of(sweep, "stale-after-ms", f.sweep.stale_after);
+  f.sweep.service = string_member(sweep, "service",
+                                  config.consul->registration ? config.consul->registration->service : "");
+  f.sweep.every = ms_member(sweep, "every-ms", f.sweep.every);
+  f.sweep.stale_after = ms_member(sweep, "stale-after-ms", f.sweep.stale_after);
   if (f.sweep.service.empty() && has_role(f, fleet::kSweepRole))
     file.fail("fleet.sweep.service", "is needed where the relay is not registered itself");
   // Guards the keys that its name becomes a part of.
   for (const char* const section : {"drain", "ejection"})
-    if (in.isMember(section) && !plain_name(config.name))
+    if (in.isMember(section) && !is_plain_name(config.name))
       file.fail(std::string("fleet.") + section, "the relay's name is no plain one");
   if (in.isMember("drain")) f.drain = read_drain(file, config, least_ttl);
   if (in.isMember("release")) f.release = read_release(file, config, f);
@@ -355,59 +359,62 @@
 }
 
 Config apply_settings(std::string_view text, const std::string& path, std::optional<Config> platform) {
-  const File file(text, path);
+  const SettingsFile file(text, path);
   const Json::Value& in = file.value();
   Config config;
   if (platform) {
-    for (const char* name : kOfThePlatform) {
+    for (const char* name : kPlatformMembers) {
       if (in.isMember(name)) file.fail(name, "the platform's configuration says this");
     }
     config = std::move(*platform);
   } else {
-    config.platform = false;
-    config.name = text_of(in, "name", "fennellane");
+    config.has_platform = false;
+    config.name = string_member(in, "name", "fennellane");
     config.listen = in.isMember("listen") ? file.address(in["listen"], "listen") : Address{"127.0.0.1", 8080};
     read_allowance(in["limits"], config.allowance);
-    config.settings = module_settings(file);
+    config.raw_settings = module_settings(file);
     try {
-      config.boot = wire::read_settings(config.settings, 0);
-    } catch (const wire::BadInput& e) {
+      config.boot = wire::read_settings(config.raw_settings, 0);
+    } catch (const wire::InputError& e) {
       file.fail("", e.what());
     }
     config.boot.settings.can_probe = false;
     config.boot.settings.list_on_request = false;
   }
-  const std::string form = text_of(in["log"], "form", "plain");
-  config.log.form = form == "json" ? LogForm::json : form == "logfmt" ? LogForm::logfmt : LogForm::plain;
-  config.log.most_lines = count_of(in["log"], "lines", config.log.most_lines);
+  const std::string form = string_member(in["log"], "form", "plain");
+  config.log.format = form == "json"     ? LogFormat::json
+                      : form == "logfmt" ? LogFormat::logfmt
+                                         : LogFormat::plain;
+  config.log.max_lines = count_member(in["log"], "lines", config.log.max_lines);
   if (in.isMember("upgrade")) {
     UpgradeSettings upgrade;
-    upgrade.program = text_of(in["upgrade"], "program", "");
-    upgrade.start = ms_of(in["upgrade"], "start-ms", upgrade.start);
-    upgrade.state = ms_of(in["upgrade"], "state-ms", upgrade.state);
-    upgrade.taken = ms_of(in["upgrade"], "taken-ms", upgrade.taken);
+    upgrade.program = string_member(in["upgrade"], "program", "");
+    upgrade.start_timeout = ms_member(in["upgrade"], "start-ms", upgrade.start_timeout);
+    upgrade.state_timeout = ms_member(in["upgrade"], "state-ms", upgrade.state_timeout);
+    upgrade.takeover_timeout = ms_member(in["upgrade"], "taken-ms", upgrade.takeover_timeout);
     config.upgrade = std::move(upgrade);
   }
   if (in.isMember("record")) {
     RecordSettings record;
-    record.bytes = count_of(in["record"], "kib", record.bytes / 1024) * 1024;
-    record.folder = text_of(in["record"], "folder", "");
-    if (record.folder.empty() && static_cast<double>(record.bytes) > config.allowance.disk_mb * 1e6 / 2) {
+    record.file_bytes = count_member(in["record"], "kib", record.file_bytes / 1024) * 1024;
+    record.folder = string_member(in["record"], "folder", "");
+    if (record.folder.empty() &&
+        static_cast<double>(record.file_bytes) > config.allowance.disk_mb * 1e6 / 2) {
       file.fail("record.kib", "is more than half of the disk that the state folder may take");
     }
     config.record = std::move(record);
   }
-  const std::string source = text_of(in, "membership", platform ? "platform" : "list");
+  const std::string source = string_member(in, "membership", platform ? "platform" : "list");
   if (source == "platform") {
-    if (!config.platform) file.fail("membership", "there is no platform: expected list or consul");
+    if (!config.has_platform) file.fail("membership", "there is no platform: expected list or consul");
   } else if (source == "list") {
     config.source = MembershipSource::list;
     if (!in.isMember("host")) file.fail("host", "at least one host is needed for membership list");
-    config.known = read_hosts(file, config.boot);
+    config.known_hosts = read_hosts(file, config.boot);
   } else {
     config.source = MembershipSource::consul;
     if (!in.isMember("consul")) file.fail("consul", "is needed for membership consul");
-    config.known = {};
+    config.known_hosts = {};
   }
   if (in.isMember("consul")) config.consul = read_consul(file, config);
   if (config.source == MembershipSource::consul && config.consul->services.empty())
@@ -417,7 +424,7 @@
     config.consul->registration->relay = config.name;
     config.consul->registration->zone = config.fleet->drain->slot.zone;
   }
-  config.keeps_list = true;
+  config.stores_list = true;
   fill_limits(config);
   return config;
 }
--- a/src/settings/sexp.cpp
+++ b/src/settings/sexp.cpp
@@ -53,9 +53,9 @@
   return lines;
 }
 
-class Reader {
+class SexpReader {
  public:
-  explicit Reader(std::string_view text) : lines_(element_lines(text)) {}
+  explicit SexpReader(std::string_view text) : lines_(element_lines(text)) {}
 
   // `first` and what follows it are members of an object.
   Json::Value object(const sexp_t* first, const Json::Value& schema, const std::string& path) {
@@ -68,7 +68,7 @@
       }
       next_line();
       const std::string name = s->list->val;
-      if (!known.isMember(name)) fail(line, path, "unknown name '" + name + "'; " + names(known));
+      if (!known.isMember(name)) fail(line, path, "unknown name '" + name + "'; " + known_names(known));
       member(out, name, s->list->next, known[name], (path.empty() ? "" : path + ".") + name, line);
     }
     return out;
@@ -77,9 +77,9 @@
   std::map<std::string, std::size_t> lines;
 
  private:
-  std::size_t next_line() { return at_ < lines_.size() ? lines_[at_++] : 0; }
+  std::size_t next_line() { return next_index_ < lines_.size() ? lines_[next_index_++] : 0; }
 
-  static std::string names(const Json::Value& known) {
+  static std::string known_names(const Json::Value& known) {
     std::string text = "known here:";
     for (const std::string& name : known.getMemberNames()) text += " " + name;
     return text;
@@ -131,7 +131,7 @@
   }
 
   std::vector<std::size_t> lines_;
-  std::size_t at_ = 0;
+  std::size_t next_index_ = 0;
 };
 
 }  // namespace
@@ -167,7 +167,7 @@
       }
     }
   }
-  Reader reader(text);
+  SexpReader reader(text);
   SexpDocument document;
   document.value = reader.object(tree->list, schema, "");
   document.lines = std::move(reader.lines);
--- a/src/settings/upgrade_settings.hpp
+++ b/src/settings/upgrade_settings.hpp
@@ -9,10 +9,11 @@
 namespace fennellane {
 
 struct UpgradeSettings {
-  std::string program;                          // empty: the one that runs, by its path
-  Time start = std::chrono::seconds(10);        // for the new program to look at its configuration
-  Time state = std::chrono::milliseconds(400);  // from the freeze until it has all; clients wait for so long
-  Time taken = std::chrono::milliseconds(200);  // for its last word
+  std::string program;                            // empty: the one that runs, by its path
+  Time start_timeout = std::chrono::seconds(10);  // for the new program to look at its configuration
+  Time state_timeout =
+      std::chrono::milliseconds(400);  // from the freeze until it has all; clients wait for so long
+  Time takeover_timeout = std::chrono::milliseconds(200);  // for its last word
   bool operator==(const UpgradeSettings&) const = default;
 };
 
--- a/src/upgrade/channel.cpp
+++ b/src/upgrade/channel.cpp
@@ -11,10 +11,10 @@
 namespace fennellane::upgrade {
 namespace {
 
-constexpr std::size_t kMostDescriptors = 250;  // of one message; the kernel takes 253
-constexpr std::size_t kPiece = 64 * kKiB;
+constexpr std::size_t kMaxDescriptorsPerMessage = 250;  // of one message; the kernel takes 253
+constexpr std::size_t kReceiveBufferBytes = 64 * kKiB;
 
-[[noreturn]] void fail(const char* what) {
+[[noreturn]] void throw_errno(const char* what) {
   throw ChannelError(std::string(what) + ": " + std::strerror(errno));
 }
 
@@ -24,24 +24,25 @@
   const int flags = ::fcntl(socket_.get(), F_GETFL);
   if (flags < 0 || ::fcntl(socket_.get(), F_SETFL, flags | O_NONBLOCK) != 0 ||
       ::fcntl(socket_.get(), F_SETFD, FD_CLOEXEC) != 0) {
-    fail("the handover's connection");
+    throw_errno("the handover's connection");
   }
 }
 
 void Channel::send(const handover::Message& message, std::vector<int> descriptors) {
-  if (descriptors.size() > kMostDescriptors) throw ChannelError("too many descriptors in one message");
+  if (descriptors.size() > kMaxDescriptorsPerMessage)
+    throw ChannelError("too many descriptors in one message");
   queue_.push_back({handover::encode(message), std::move(descriptors), 0});
 }
 
 void Channel::flush() {
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMostDescriptors)];
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)];
   while (!queue_.empty()) {
-    Part& part = queue_.front();
-    iovec bytes{part.text.data() + part.written, part.text.size() - part.written};
+    QueuedMessage& part = queue_.front();
+    iovec bytes{part.bytes.data() + part.written_bytes, part.bytes.size() - part.written_bytes};
     msghdr message{};
     message.msg_iov = &bytes;
     message.msg_iovlen = 1;
-    if (part.written == 0 && !part.descriptors.empty()) {
+    if (part.written_bytes == 0 && !part.descriptors.empty()) {
       const std::size_t size = sizeof(int) * part.descriptors.size();
       message.msg_control = control;
       message.msg_controllen = CMSG_SPACE(size);
@@ -56,15 +57,15 @@
     // The last: more descriptors are on their way than the kernel lets one user have.
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS)) return;
     if (n < 0 && (errno == EPIPE || errno == ECONNRESET)) return queue_.clear();
-    if (n < 0) fail("a handover message cannot be sent");
-    part.written += static_cast<std::size_t>(n);
-    if (part.written == part.text.size()) queue_.pop_front();
+    if (n < 0) throw_errno("a handover message cannot be sent");
+    part.written_bytes += static_cast<std::size_t>(n);
+    if (part.written_bytes == part.bytes.size()) queue_.pop_front();
   }
 }
 
 bool Channel::receive() {
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMostDescriptors)];
-  std::string piece(kPiece, '\0');
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)];
+  std::string piece(kReceiveBufferBytes, '\0');
   while (true) {
     iovec bytes{piece.data(), piece.size()};
     msghdr message{};
@@ -76,7 +77,7 @@
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
     if (n < 0 && errno == ECONNRESET) return false;
-    if (n < 0) fail("a handover message cannot be received");
+    if (n < 0) throw_errno("a handover message cannot be received");
     for (cmsghdr* head = CMSG_FIRSTHDR(&message); head != nullptr; head = CMSG_NXTHDR(&message, head)) {
       if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
       const std::size_t count = (head->cmsg_len - CMSG_LEN(0)) / sizeof(int);
@@ -87,7 +88,7 @@
       }
     }
     if ((message.msg_flags & MSG_CTRUNC) != 0) {
-      descriptors_ = DescriptorsIn();  // what is said of it may need one
+      descriptors_ = IncomingDescriptors();  // what is said of it may need one
       throw ChannelError("there are not enough descriptors");
     }
     if (n == 0) return false;
--- a/src/upgrade/channel.hpp
+++ b/src/upgrade/channel.hpp
@@ -24,16 +24,16 @@
   explicit Channel(FileDescriptor socket);
 
   int descriptor() const { return socket_.get(); }
-  FileDescriptor take_socket() { return std::move(socket_); }  // of no use after it
+  FileDescriptor release_socket() { return std::move(socket_); }  // of no use after it
 
   // Queues a message, with descriptors that stay their owners'; these must stay open until it is written.
   void send(const handover::Message& message, std::vector<int> descriptors = {});
   // Writes what goes at once. What cannot be written as the other side is gone is dropped: its end is told
   // by `receive`. Throws ChannelError for other trouble.
   void flush();
-  bool sending() const { return !queue_.empty(); }
+  bool has_queued() const { return !queue_.empty(); }
   // Writes nothing more of what is queued.
-  void drop_queue() { queue_.clear(); }
+  void clear_queue() { queue_.clear(); }
 
   // Reads what is there; false at the other side's end. Throws ChannelError, also where the machine or this
   // process has no room for a descriptor that came.
@@ -41,19 +41,19 @@
   // Throws handover::FrameError: the connection is of no use then.
   std::optional<handover::Message> next() { return reader_.next(); }
   // Those that have come, in their order.
-  DescriptorsIn& descriptors() { return descriptors_; }
+  IncomingDescriptors& descriptors() { return descriptors_; }
 
  private:
-  struct Part {
-    std::string text;
+  struct QueuedMessage {
+    std::string bytes;
     std::vector<int> descriptors;  // with its first byte
-    std::size_t written = 0;
+    std::size_t written_bytes = 0;
   };
 
   FileDescriptor socket_;
-  std::deque<Part> queue_;
+  std::deque<QueuedMessage> queue_;
   handover::FrameReader reader_;
-  DescriptorsIn descriptors_;
+  IncomingDescriptors descriptors_;
 };
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/command.cpp
+++ b/src/upgrade/command.cpp
@@ -10,7 +10,7 @@
 
 namespace fennellane::upgrade {
 
-int ask_for_upgrade(const std::string& state_folder, std::chrono::seconds wait) {
+int request_upgrade(const std::string& state_folder, std::chrono::seconds wait) {
   const auto before = read_run_file(state_folder);
   // A relay holds the lock. Guards another process, which has got the number of one that is gone, against a
   // signal.
@@ -24,13 +24,14 @@
     std::this_thread::sleep_for(kLook);
     const auto now = read_run_file(state_folder);
     // The count of one that could not be written down, on a full disk, comes with the next one's beginning.
-    if (!now || now->next != 0 || now->tries == before->tries) continue;
-    std::printf("%s\n", now->last.c_str());
-    return now->good ? 0 : 1;
+    if (!now || now->next_pid != 0 || now->finished_upgrades == before->finished_upgrades) continue;
+    std::printf("%s\n", now->last_result.c_str());
+    return now->last_succeeded ? 0 : 1;
   }
   const auto last = read_run_file(state_folder);
-  const std::string said =
-      last && last->pid == before->pid && last->last != before->last ? ": " + last->last : "";
+  const std::string said = last && last->pid == before->pid && last->last_result != before->last_result
+                               ? ": " + last->last_result
+                               : "";
   std::fprintf(stderr, "fennellane: process %d has not said how the upgrade went%s; see its log\n",
                static_cast<int>(before->pid), said.c_str());
   return 1;
--- a/src/upgrade/command.hpp
+++ b/src/upgrade/command.hpp
@@ -7,6 +7,6 @@
 namespace fennellane::upgrade {
 
 // Prints one line. 0: the new process serves; 1: the old one does, or nothing is known.
-int ask_for_upgrade(const std::string& state_folder, std::chrono::seconds wait);
+int request_upgrade(const std::string& state_folder, std::chrono::seconds wait);
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/launch.cpp
+++ b/src/upgrade/launch.cpp
@@ -21,21 +21,21 @@
 namespace fennellane::upgrade {
 namespace {
 
-constexpr int kChannel = 3;  // in the started process
-constexpr int kMostPid = 1 << 30;
+constexpr int kChannelDescriptor = 3;  // in the started process
+constexpr int kMaxPid = 1 << 30;
 
-[[noreturn]] void fail(int error, const std::string& what) {
+[[noreturn]] void throw_system_error(int error, const std::string& what) {
   throw std::system_error(error, std::generic_category(), what);
 }
 
-std::vector<char*> pointers(std::vector<std::string>& texts) {
+std::vector<char*> argument_pointers(std::vector<std::string>& texts) {
   std::vector<char*> all;
   for (std::string& text : texts) all.push_back(text.data());
   all.push_back(nullptr);
   return all;
 }
 
-std::vector<std::string> environment_with(pid_t watcher, bool takes_over) {
+std::vector<std::string> child_environment(pid_t watcher, bool takes_over) {
   std::vector<std::string> all;
   for (char** variable = environ; *variable != nullptr; ++variable) {
     const std::string text = *variable;
@@ -44,13 +44,13 @@
     all.push_back(text);
   }
   all.push_back(std::string(kWatcherVariable) + "=" + std::to_string(watcher));
-  if (takes_over) all.push_back(std::string(kHandoverVariable) + "=" + std::to_string(kChannel));
+  if (takes_over) all.push_back(std::string(kHandoverVariable) + "=" + std::to_string(kChannelDescriptor));
   return all;
 }
 
-class SpawnPlan {
+class SpawnOptions {
  public:
-  SpawnPlan() {
+  SpawnOptions() {
     posix_spawn_file_actions_init(&files_);
     posix_spawnattr_init(&attributes_);
     sigset_t none;
@@ -58,12 +58,12 @@
     posix_spawnattr_setsigmask(&attributes_, &none);
     posix_spawnattr_setflags(&attributes_, POSIX_SPAWN_SETSIGMASK);
   }
-  ~SpawnPlan() {
+  ~SpawnOptions() {
     posix_spawn_file_actions_destroy(&files_);
     posix_spawnattr_destroy(&attributes_);
   }
-  SpawnPlan(const SpawnPlan&) = delete;
-  SpawnPlan& operator=(const SpawnPlan&) = delete;
+  SpawnOptions(const SpawnOptions&) = delete;
+  SpawnOptions& operator=(const SpawnOptions&) = delete;
   posix_spawn_file_actions_t* files() { return &files_; }
   posix_spawnattr_t* attributes() { return &attributes_; }
 
@@ -87,10 +87,10 @@
   return command;
 }
 
-int taken_variable(const char* name) {
+int consume_variable(const char* name) {
   const char* const text = std::getenv(name);
   if (text == nullptr) return -1;
-  const auto number = whole_number(text, kMostPid);
+  const auto number = parse_unsigned(text, kMaxPid);
   ::unsetenv(name);
   return number ? static_cast<int>(*number) : -1;
 }
@@ -98,38 +98,39 @@
 Child launch(const CommandLine& command, pid_t watcher, bool takes_over) {
   int ends[2] = {-1, -1};
   if (takes_over && ::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
-    fail(errno, "no connection");
+    throw_system_error(errno, "no connection");
   Child child;
   child.channel = FileDescriptor(ends[0]);
   const FileDescriptor theirs(ends[1]);
-  SpawnPlan plan;
-  if (takes_over) posix_spawn_file_actions_adddup2(plan.files(), theirs.get(), kChannel);
+  SpawnOptions plan;
+  if (takes_over) posix_spawn_file_actions_adddup2(plan.files(), theirs.get(), kChannelDescriptor);
   // Guards against clients' connections staying open in a process that knows nothing of them.
-  posix_spawn_file_actions_addclosefrom_np(plan.files(), takes_over ? kChannel + 1 : kChannel);
+  posix_spawn_file_actions_addclosefrom_np(plan.files(),
+                                           takes_over ? kChannelDescriptor + 1 : kChannelDescriptor);
   std::vector<std::string> arguments = command.arguments;
-  std::vector<std::string> environment = environment_with(watcher, takes_over);
+  std::vector<std::string> environment = child_environment(watcher, takes_over);
   const int error = ::posix_spawn(&child.pid, command.program.c_str(), plan.files(), plan.attributes(),
-                                  pointers(arguments).data(), pointers(environment).data());
-  if (error != 0) fail(error, command.program);
-  child.life = FileDescriptor(static_cast<int>(::syscall(SYS_pidfd_open, child.pid, 0)));
-  if (child.life.get() < 0) {
+                                  argument_pointers(arguments).data(), argument_pointers(environment).data());
+  if (error != 0) throw_system_error(error, command.program);
+  child.pidfd = FileDescriptor(static_cast<int>(::syscall(SYS_pidfd_open, child.pid, 0)));
+  if (child.pidfd.get() < 0) {
     const int why = errno;
     ::kill(child.pid, SIGKILL);
     ::waitpid(child.pid, nullptr, 0);
-    fail(why, "the new process cannot be watched");
+    throw_system_error(why, "the new process cannot be watched");
   }
   return child;
 }
 
-void become(const CommandLine& command, pid_t watcher) {
-  ::close_range(kChannel, ~0U, CLOSE_RANGE_CLOEXEC);
+void reexec(const CommandLine& command, pid_t watcher) {
+  ::close_range(kChannelDescriptor, ~0U, CLOSE_RANGE_CLOEXEC);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
   std::vector<std::string> arguments = command.arguments;
-  std::vector<std::string> environment = environment_with(watcher, false);
+  std::vector<std::string> environment = child_environment(watcher, false);
   // The file that runs, whatever has its name now.
-  ::execve("/proc/self/exe", pointers(arguments).data(), pointers(environment).data());
+  ::execve("/proc/self/exe", argument_pointers(arguments).data(), argument_pointers(environment).data());
 }
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/launch.hpp
+++ b/src/upgrade/launch.hpp
@@ -22,11 +22,11 @@
 inline constexpr const char* kWatcherVariable = "FENNELLANE_WATCHER";    // the process that watches over it
 
 // Takes the variable out of the environment. -1: it is not there, or no number.
-int taken_variable(const char* name);
+int consume_variable(const char* name);
 
 struct Child {
   pid_t pid = -1;
-  FileDescriptor life;     // can be read once it has ended
+  FileDescriptor pidfd;    // can be read once it has ended
   FileDescriptor channel;  // to it; none where it is not to take over
 };
 
@@ -35,6 +35,6 @@
 Child launch(const CommandLine& command, pid_t watcher, bool takes_over);
 
 // This process goes on as the program, in the same way as it was started. Returns only where that fails.
-void become(const CommandLine& command, pid_t watcher);
+void reexec(const CommandLine& command, pid_t watcher);
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/new_process.cpp
+++ b/src/upgrade/new_process.cpp
@@ -15,7 +15,7 @@
 constexpr Versions kVersions{};
 
 // The new side has no time limits of its own: a process that is not answered any more is killed.
-constexpr Time kNow{};
+constexpr Time kUnusedTime{};
 
 void wait_for(int fd, short events) {
   pollfd one{fd, events, 0};
@@ -25,88 +25,90 @@
 
 }  // namespace
 
-NewProcess::NewProcess(FileDescriptor channel, Successor& successor, OnSay say)
+NewProcess::NewProcess(FileDescriptor channel, Successor& successor, OnLog say)
     : channel_(std::move(channel)),
       successor_(successor),
-      say_(std::move(say)),
+      log_(std::move(say)),
       side_(kVersions, handover::Limits{}) {}
 
 bool NewProcess::run() {
   while (!ended_ && !side_.serves()) {
     wait_for(channel_.descriptor(), POLLIN);
-    hear();
+    receive_messages();
   }
   return side_.serves();
 }
 
-void NewProcess::hear() {
+void NewProcess::receive_messages() {
   try {
     const bool open = channel_.receive();
     while (const std::optional<Message> message = channel_.next()) {
       // The side counts the bytes; they are kept here.
       if (const State* part = std::get_if<State>(&*message)) state_ += part->bytes;
-      give(Received{*message});
+      dispatch(MessageReceived{*message});
       if (ended_ || side_.serves()) return;
     }
-    if (!open) give(PeerDead{});
+    if (!open) dispatch(PeerExited{});
   } catch (const FrameError& e) {
-    give(Spoilt{e.what()});
+    dispatch(ChannelFailed{e.what()});
   } catch (const ChannelError& e) {
     // The old process hears why: it may be for a limit that an operator can raise.
     channel_.send(Refuse{e.what()});
     channel_.flush();
-    give(Spoilt{e.what()});
+    dispatch(ChannelFailed{e.what()});
   }
 }
 
-void NewProcess::give(NewInput input) {
+void NewProcess::dispatch(NewInput input) {
   inputs_.push_back(std::move(input));
-  if (std::exchange(at_work_, true)) return;
+  if (std::exchange(dispatching_, true)) return;
   while (!inputs_.empty()) {
     const NewInput next = std::move(inputs_.front());
     inputs_.pop_front();
     const auto before = side_.step();
-    const std::vector<NewEffect> effects = side_.handle(kNow, next);
-    if (side_.step() != before) fault_point("new", name_of(side_.step()));
+    const std::vector<NewEffect> effects = side_.handle(kUnusedTime, next);
+    if (side_.step() != before) fault_point("new", step_name(side_.step()));
     for (const NewEffect& effect : effects) {
-      std::visit([this](const auto& e) { carry(e); }, effect);
+      std::visit([this](const auto& e) { execute(e); }, effect);
     }
   }
-  at_work_ = false;
+  dispatching_ = false;
 }
 
-void NewProcess::carry(const Send& e) {
+void NewProcess::execute(const Send& e) {
   channel_.send(e.message);
   while (true) {
     channel_.flush();
-    if (!channel_.sending()) break;
+    if (!channel_.has_queued()) break;
     wait_for(channel_.descriptor(), POLLOUT);
   }
-  if (std::holds_alternative<Taken>(e.message)) fault_point("new", "taken");
+  if (std::holds_alternative<TakeoverConfirmed>(e.message)) fault_point("new", "taken");
 }
 
-void NewProcess::carry(const Check&) { give(Checked{successor_.check()}); }
+void NewProcess::execute(const CheckConfiguration&) {
+  dispatch(PreparationFinished{successor_.check_configuration()});
+}
 
-void NewProcess::carry(const Build& e) {
-  if (checksum(state_) != e.end.checksum) return give(Checked{"the state is damaged"});
-  give(Checked{successor_.build(state_, channel_.descriptors(), e.end.journal_bytes)});
+void NewProcess::execute(const BuildState& e) {
+  if (checksum(state_) != e.end.checksum) return dispatch(PreparationFinished{"the state is damaged"});
+  dispatch(PreparationFinished{successor_.build_relay(state_, channel_.descriptors(), e.end.journal_bytes)});
   state_ = std::string();
 }
 
-void NewProcess::carry(const WriteFence& e) {
-  const std::string failure = successor_.claim(e.to);
-  claimed_ = failure.empty();
-  give(Fenced{failure});
+void NewProcess::execute(const WriteFence& e) {
+  const std::string failure = successor_.claim_journal(e.owner);
+  journal_claimed_ = failure.empty();
+  dispatch(FenceWritten{failure});
 }
 
-void NewProcess::carry(const Serve& e) {
-  if (claimed_) return;
-  const std::string failure = successor_.claim(e.generation);
+void NewProcess::execute(const StartServing& e) {
+  if (journal_claimed_) return;
+  const std::string failure = successor_.claim_journal(e.generation);
   // Nobody serves then; the journal is whole, and the next life begins from it.
   if (!failure.empty()) throw std::runtime_error("the journal cannot be claimed: " + failure);
 }
 
-void NewProcess::carry(const Exit&) { ended_ = true; }
-void NewProcess::carry(const Say& e) { say_(e.text); }
+void NewProcess::execute(const Exit&) { ended_ = true; }
+void NewProcess::execute(const LogMessage& e) { log_(e.text); }
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/new_process.hpp
+++ b/src/upgrade/new_process.hpp
@@ -15,45 +15,45 @@
 class Successor {
  public:
   virtual ~Successor() = default;
-  virtual std::string check() = 0;
+  virtual std::string check_configuration() = 0;
   // Everything, from the state; no socket and no file is touched.
-  virtual std::string build(const std::string& state, DescriptorsIn& descriptors,
-                            std::uint64_t journal_bytes) = 0;
-  virtual std::string claim(handover::Generation generation) = 0;
+  virtual std::string build_relay(const std::string& state, IncomingDescriptors& descriptors,
+                                  std::uint64_t journal_bytes) = 0;
+  virtual std::string claim_journal(handover::Generation generation) = 0;
 };
 
 class NewProcess {
  public:
-  using OnSay = std::function<void(const std::string&)>;
+  using OnLog = std::function<void(const std::string&)>;
   // `channel`: to the old process. Throws ChannelError.
-  NewProcess(FileDescriptor channel, Successor& successor, OnSay say);
+  NewProcess(FileDescriptor channel, Successor& successor, OnLog say);
 
   // Whether this process serves now. Throws std::runtime_error where it was to serve and cannot.
   bool run();
   // Open for as long as the old process is there.
-  FileDescriptor take_channel() { return channel_.take_socket(); }
+  FileDescriptor release_channel() { return channel_.release_socket(); }
 
  private:
-  void give(handover::NewInput input);
-  void carry(const handover::Send& e);
-  void carry(const handover::Check& e);
-  void carry(const handover::Build& e);
-  void carry(const handover::WriteFence& e);
-  void carry(const handover::Serve& e);
-  void carry(const handover::Exit& e);
-  void carry(const handover::SetTimer&) {}
-  void carry(const handover::StopTimer&) {}
-  void carry(const handover::Say& e);
-  void hear();
+  void dispatch(handover::NewInput input);
+  void execute(const handover::Send& e);
+  void execute(const handover::CheckConfiguration& e);
+  void execute(const handover::BuildState& e);
+  void execute(const handover::WriteFence& e);
+  void execute(const handover::StartServing& e);
+  void execute(const handover::Exit& e);
+  void execute(const handover::SetTimer&) {}
+  void execute(const handover::StopTimer&) {}
+  void execute(const handover::LogMessage& e);
+  void receive_messages();
 
   Channel channel_;
   Successor& successor_;
-  const OnSay say_;
+  const OnLog log_;
   handover::NewSide side_;
   std::deque<handover::NewInput> inputs_;
-  bool at_work_ = false;
+  bool dispatching_ = false;
   bool ended_ = false;
-  bool claimed_ = false;
+  bool journal_claimed_ = false;
   std::string state_;
 };
 
