--- a/src/upgrade/old_process.cpp
+++ b/src/upgrade/old_process.cpp
@@ -18,17 +18,17 @@
 
 using namespace handover;
 
-constexpr std::size_t kStatePart = 256 * kKiB;
-constexpr std::size_t kDescriptorsPart = 200;
+constexpr std::size_t kStateChunkBytes = 256 * kKiB;
+constexpr std::size_t kDescriptorsPerMessage = 200;
 constexpr Versions kVersions{};
 
-int copy_of(int fd) {
+int duplicate_descriptor(int fd) {
   const int copy = ::fcntl(fd, F_DUPFD_CLOEXEC, 0);
   if (copy < 0) throw std::system_error(errno, std::generic_category(), "no descriptor");
   return copy;
 }
 
-std::string ending(int status) {
+std::string exit_text(int status) {
   if (WIFSIGNALED(status)) return "signal " + std::to_string(WTERMSIG(status));
   return "code " + std::to_string(WEXITSTATUS(status));
 }
@@ -46,46 +46,47 @@
       side_(kVersions, generation, limits),
       timer_(io) {}
 
-void OldProcess::ask(const std::string& program) {
+void OldProcess::request_upgrade(const std::string& program) {
   if (!side_.busy()) program_ = program;
-  give(UpgradeAsked{});
+  dispatch(UpgradeRequested{});
 }
 
-void OldProcess::call_off(const std::string& why) {
-  if (side_.busy()) give(Spoilt{why});
+void OldProcess::abort_upgrade(const std::string& why) {
+  if (side_.busy()) dispatch(ChannelFailed{why});
 }
 
 // One input at a time: what an effect brings about waits for its turn.
-void OldProcess::give(OldInput input) {
+void OldProcess::dispatch(OldInput input) {
   inputs_.push_back(std::move(input));
-  if (std::exchange(at_work_, true)) return;
+  if (std::exchange(dispatching_, true)) return;
   while (!inputs_.empty()) {
     const OldInput next = std::move(inputs_.front());
     inputs_.pop_front();
     const auto before = side_.step();
     const std::vector<OldEffect> effects = side_.handle(steady_now(), next);
-    if (side_.step() != before) fault_point("old", name_of(side_.step()));
+    if (side_.step() != before) fault_point("old", step_name(side_.step()));
     for (const OldEffect& effect : effects) {
-      std::visit([this](const auto& e) { carry(e); }, effect);
+      std::visit([this](const auto& e) { execute(e); }, effect);
     }
   }
-  at_work_ = false;
-  if (trying_ && !side_.busy()) {
-    trying_ = false;
-    relay_.upgrade_failed(said_);
+  dispatching_ = false;
+  if (upgrade_in_progress_ && !side_.busy()) {
+    upgrade_in_progress_ = false;
+    relay_.upgrade_failed(failure_reason_);
   }
 }
 
-void OldProcess::carry(const StartPeer&) {
-  trying_ = true;
-  said_.clear();
+void OldProcess::execute(const StartPeer&) {
+  upgrade_in_progress_ = true;
+  failure_reason_.clear();
   try {
     CommandLine command = command_;
     if (!program_.empty()) command.program = command.arguments.front() = program_;
     Child child = launch(command, watcher_, true);
     const pid_t pid = child.pid;
     try {
-      const int ear = copy_of(child.channel.get()), life = copy_of(child.life.get());
+      const int ear = duplicate_descriptor(child.channel.get()),
+                life = duplicate_descriptor(child.pidfd.get());
       Channel channel(std::move(child.channel));
       peer_ = std::make_unique<Peer>(Peer{std::move(child), std::move(channel), true,
                                           asio::posix::stream_descriptor(io_, ear),
@@ -97,183 +98,184 @@
       peer_.reset();
       throw;
     }
-    await_word();
-    await_end();
+    await_message();
+    await_peer_exit();
     log_("upgrade", "process " + std::to_string(pid) + " is started: " + command.program);
-    give(Started{});
+    dispatch(PeerStarted{});
   } catch (const std::exception& e) {
-    give(Started{e.what()});
+    dispatch(PeerStarted{e.what()});
   }
 }
 
 // The handlers guard against being those of a try that has ended.
-void OldProcess::await_word() {
-  peer_->ear.async_wait(asio::posix::stream_descriptor::wait_read,
-                        [this, peer = peer_.get()](asio::error_code error) {
-                          if (error || peer_.get() != peer) return;
-                          hear();
-                          // Frozen, it stands still here until it is known how that ends.
-                          if (frozen_) return stand_still();
-                          if (peer_.get() == peer && peer_->hears) await_word();
-                        });
+void OldProcess::await_message() {
+  peer_->channel_readable.async_wait(asio::posix::stream_descriptor::wait_read,
+                                     [this, peer = peer_.get()](asio::error_code error) {
+                                       if (error || peer_.get() != peer) return;
+                                       receive_messages();
+                                       // Frozen, it stands still here until it is known how that ends.
+                                       if (frozen_) return run_while_frozen();
+                                       if (peer_.get() == peer && peer_->channel_open) await_message();
+                                     });
 }
 
-void OldProcess::await_end() {
-  peer_->life.async_wait(asio::posix::stream_descriptor::wait_read,
-                         [this, peer = peer_.get()](asio::error_code error) {
-                           if (!error && peer_.get() == peer) bury();
-                         });
+void OldProcess::await_peer_exit() {
+  peer_->process_ended.async_wait(asio::posix::stream_descriptor::wait_read,
+                                  [this, peer = peer_.get()](asio::error_code error) {
+                                    if (!error && peer_.get() == peer) reap_peer();
+                                  });
 }
 
-void OldProcess::carry(const Send& e) {
+void OldProcess::execute(const Send& e) {
   peer_->channel.send(e.message);
   flush();
 }
 
-void OldProcess::carry(const Freeze&) { frozen_ = true; }
+void OldProcess::execute(const Freeze&) { frozen_ = true; }
 
-void OldProcess::carry(const SendState&) {
+void OldProcess::execute(const SendState&) {
   try {
-    sending_.emplace();
-    sending_->state = relay_.save(sending_->descriptors);
-    if (sending_->state.size() > limits_.most_state) throw std::runtime_error("it is larger than its bound");
+    state_transfer_.emplace();
+    state_transfer_->state = relay_.save(state_transfer_->descriptors);
+    if (state_transfer_->state.size() > limits_.max_state_bytes)
+      throw std::runtime_error("it is larger than its bound");
     flush();
   } catch (const std::exception& e) {
-    sending_.reset();
-    give(StateSent{e.what()});
+    state_transfer_.reset();
+    dispatch(StateSent{e.what()});
   }
 }
 
 // The next part, once the one before has gone out: the state is not held twice.
-void OldProcess::queue_state() {
-  Sending& s = *sending_;
+void OldProcess::queue_state_chunk() {
+  StateTransfer& s = *state_transfer_;
   const std::vector<int>& all = s.descriptors.all();
-  if (s.sent == s.state.size() && s.descriptors_sent == all.size()) {
-    s.ended = true;
+  if (s.sent_bytes == s.state.size() && s.descriptors_sent == all.size()) {
+    s.end_queued = true;
     return peer_->channel.send(StateEnd{s.state.size(), checksum(s.state), relay_.journal_bytes()});
   }
-  const std::size_t count = std::min(kDescriptorsPart, all.size() - s.descriptors_sent);
+  const std::size_t count = std::min(kDescriptorsPerMessage, all.size() - s.descriptors_sent);
   const auto first = all.begin() + static_cast<std::ptrdiff_t>(s.descriptors_sent);
-  peer_->channel.send(State{s.state.substr(s.sent, kStatePart)},
+  peer_->channel.send(State{s.state.substr(s.sent_bytes, kStateChunkBytes)},
                       std::vector<int>(first, first + static_cast<std::ptrdiff_t>(count)));
-  s.sent = std::min(s.state.size(), s.sent + kStatePart);
+  s.sent_bytes = std::min(s.state.size(), s.sent_bytes + kStateChunkBytes);
   s.descriptors_sent += count;
 }
 
 void OldProcess::flush() {
   try {
     peer_->channel.flush();
-    while (sending_ && !peer_->channel.sending()) {
-      if (sending_->ended) {
-        sending_.reset();
-        return give(StateSent{});
+    while (state_transfer_ && !peer_->channel.has_queued()) {
+      if (state_transfer_->end_queued) {
+        state_transfer_.reset();
+        return dispatch(StateSent{});
       }
-      queue_state();
+      queue_state_chunk();
       peer_->channel.flush();
     }
   } catch (const ChannelError& e) {
-    peer_->channel.drop_queue();
-    if (sending_) {
-      sending_.reset();
-      give(StateSent{e.what()});
+    peer_->channel.clear_queue();
+    if (state_transfer_) {
+      state_transfer_.reset();
+      dispatch(StateSent{e.what()});
     } else {
-      give(Spoilt{e.what()});
+      dispatch(ChannelFailed{e.what()});
     }
   }
 }
 
-void OldProcess::carry(const WriteFence& e) {
+void OldProcess::execute(const WriteFence& e) {
   try {
     if (side_.step() == OldSide::Step::reclaiming) {
-      relay_.reclaim(e.to);
+      relay_.reclaim_journal(e.owner);
     } else {
-      relay_.fence(e.to);
+      relay_.fence_journal(e.owner);
     }
-    give(Fenced{});
+    dispatch(FenceWritten{});
   } catch (const std::exception& failure) {
-    give(Fenced{failure.what()});
+    dispatch(FenceWritten{failure.what()});
   }
 }
 
-void OldProcess::carry(const KillPeer&) {
-  sending_.reset();
-  peer_->channel.drop_queue();
+void OldProcess::execute(const KillPeer&) {
+  state_transfer_.reset();
+  peer_->channel.clear_queue();
   ::kill(peer_->child.pid, SIGKILL);
 }
 
-void OldProcess::carry(const Thaw&) {
-  sending_.reset();
+void OldProcess::execute(const Thaw&) {
+  state_transfer_.reset();
   frozen_ = false;
 }
-void OldProcess::carry(const Leave&) { relay_.leave(peer_->child.pid); }
-void OldProcess::carry(const StartAnew&) { relay_.start_anew(); }
-void OldProcess::carry(const SetTimer& e) {
-  due_ = e.at;
-  timer_.expires_at(steady_moment(e.at));
+void OldProcess::execute(const ExitAfterHandover&) { relay_.exit_after_handover(peer_->child.pid); }
+void OldProcess::execute(const RestartFromJournal&) { relay_.restart_from_journal(); }
+void OldProcess::execute(const SetTimer& e) {
+  timer_deadline_ = e.at;
+  timer_.expires_at(to_time_point(e.at));
   timer_.async_wait([this](asio::error_code error) {
-    if (!error) time_due();
+    if (!error) check_timer();
   });
 }
-void OldProcess::carry(const StopTimer&) {
-  due_.reset();
+void OldProcess::execute(const StopTimer&) {
+  timer_deadline_.reset();
   timer_.cancel();
 }
-void OldProcess::carry(const Say& e) {
-  if (said_.empty()) said_ = e.text;
+void OldProcess::execute(const LogMessage& e) {
+  if (failure_reason_.empty()) failure_reason_ = e.text;
   log_("upgrade", e.text);
 }
 
-void OldProcess::time_due() {
-  if (!due_ || steady_now() < *due_) return;
-  due_.reset();
-  give(TimeDue{});
+void OldProcess::check_timer() {
+  if (!timer_deadline_ || steady_now() < *timer_deadline_) return;
+  timer_deadline_.reset();
+  dispatch(TimerExpired{});
 }
 
-void OldProcess::hear() {
-  if (!peer_->hears) return;
+void OldProcess::receive_messages() {
+  if (!peer_->channel_open) return;
   try {
-    peer_->hears = peer_->channel.receive();
-    while (const std::optional<Message> message = peer_->channel.next()) give(Received{*message});
+    peer_->channel_open = peer_->channel.receive();
+    while (const std::optional<Message> message = peer_->channel.next()) dispatch(MessageReceived{*message});
   } catch (const std::exception& e) {
-    peer_->hears = false;
-    give(Spoilt{e.what()});
+    peer_->channel_open = false;
+    dispatch(ChannelFailed{e.what()});
   }
 }
 
 // It has ended; what it said before still counts.
-void OldProcess::bury() {
-  hear();
+void OldProcess::reap_peer() {
+  receive_messages();
   int status = 0;
   ::waitpid(peer_->child.pid, &status, 0);
-  log_("upgrade", "process " + std::to_string(peer_->child.pid) + " has ended with " + ending(status));
-  peer_->channel.drop_queue();
-  sending_.reset();
+  log_("upgrade", "process " + std::to_string(peer_->child.pid) + " has ended with " + exit_text(status));
+  peer_->channel.clear_queue();
+  state_transfer_.reset();
   // Guards against a wait that names a process which is another one by now.
   const std::unique_ptr<Peer> buried = std::exchange(peer_, nullptr);
-  give(PeerDead{});
+  dispatch(PeerExited{});
 }
 
-void OldProcess::stand_still() {
+void OldProcess::run_while_frozen() {
   while (frozen_) {
     pollfd watched[2] = {{-1, 0, 0}, {-1, 0, 0}};
     if (peer_) {
-      const bool sending = peer_->channel.sending();
-      if (peer_->hears || sending) watched[0].fd = peer_->channel.descriptor();
-      watched[0].events = static_cast<short>((peer_->hears ? POLLIN : 0) | (sending ? POLLOUT : 0));
-      watched[1] = {peer_->child.life.get(), POLLIN, 0};
+      const bool sending = peer_->channel.has_queued();
+      if (peer_->channel_open || sending) watched[0].fd = peer_->channel.descriptor();
+      watched[0].events = static_cast<short>((peer_->channel_open ? POLLIN : 0) | (sending ? POLLOUT : 0));
+      watched[1] = {peer_->child.pidfd.get(), POLLIN, 0};
     }
     int wait_ms = -1;
-    if (due_) {
-      const auto left = std::chrono::ceil<std::chrono::milliseconds>(*due_ - steady_now()).count();
+    if (timer_deadline_) {
+      const auto left = std::chrono::ceil<std::chrono::milliseconds>(*timer_deadline_ - steady_now()).count();
       wait_ms = static_cast<int>(std::clamp<std::int64_t>(left, 0, 60000));
     }
     if (::poll(watched, 2, wait_ms) < 0 && errno != EINTR) continue;
     if (watched[0].revents != 0) {
-      hear();
+      receive_messages();
       if (frozen_ && peer_) flush();
     }
-    if (frozen_ && peer_ && watched[1].revents != 0) bury();
-    if (frozen_) time_due();
+    if (frozen_ && peer_ && watched[1].revents != 0) reap_peer();
+    if (frozen_) check_timer();
   }
 }
 
--- a/src/upgrade/old_process.hpp
+++ b/src/upgrade/old_process.hpp
@@ -25,18 +25,18 @@
  public:
   virtual ~Upgradable() = default;
   // All that another process needs to go on. The descriptors stay the relay's.
-  virtual std::string save(DescriptorsOut& descriptors) = 0;
+  virtual std::string save(OutgoingDescriptors& descriptors) = 0;
   virtual std::uint64_t journal_bytes() const = 0;
   // The journal's last record of this owner, and its taking back. Both throw std::exception.
-  virtual void fence(handover::Generation to) = 0;
-  virtual void reclaim(handover::Generation as) = 0;
+  virtual void fence_journal(handover::Generation to) = 0;
+  virtual void reclaim_journal(handover::Generation as) = 0;
   // Throws std::exception where that cannot be written down; there is no upgrade then.
   virtual void upgrade_started(pid_t new_process) = 0;
   virtual void upgrade_failed(const std::string& why) = 0;
   // The new process serves, and this one ends, without a word to its peers.
-  [[noreturn]] virtual void leave(pid_t new_process) = 0;
+  [[noreturn]] virtual void exit_after_handover(pid_t new_process) = 0;
   // This one begins again from the journal.
-  [[noreturn]] virtual void start_anew() = 0;
+  [[noreturn]] virtual void restart_from_journal() = 0;
 };
 
 class OldProcess {
@@ -44,33 +44,34 @@
   OldProcess(asio::io_context& io, CommandLine command, pid_t watcher, handover::Generation generation,
              const handover::Limits& limits, Upgradable& relay, Log& log);
 
-  void ask(const std::string& program = {});  // for an upgrade; empty: to the program of the command
-  void call_off(const std::string& why);      // one that is under way; the new process is killed
+  void request_upgrade(
+      const std::string& program = {});        // for an upgrade; empty: to the program of the command
+  void abort_upgrade(const std::string& why);  // one that is under way; the new process is killed
   bool busy() const { return side_.busy(); }
 
  private:
-  void give(handover::OldInput input);
-  void carry(const handover::StartPeer& e);
-  void carry(const handover::Send& e);
-  void carry(const handover::Freeze& e);
-  void carry(const handover::SendState& e);
-  void carry(const handover::WriteFence& e);
-  void carry(const handover::KillPeer& e);
-  void carry(const handover::Thaw& e);
-  void carry(const handover::Leave& e);
-  void carry(const handover::StartAnew& e);
-  void carry(const handover::SetTimer& e);
-  void carry(const handover::StopTimer& e);
-  void carry(const handover::Say& e);
+  void dispatch(handover::OldInput input);
+  void execute(const handover::StartPeer& e);
+  void execute(const handover::Send& e);
+  void execute(const handover::Freeze& e);
+  void execute(const handover::SendState& e);
+  void execute(const handover::WriteFence& e);
+  void execute(const handover::KillPeer& e);
+  void execute(const handover::Thaw& e);
+  void execute(const handover::ExitAfterHandover& e);
+  void execute(const handover::RestartFromJournal& e);
+  void execute(const handover::SetTimer& e);
+  void execute(const handover::StopTimer& e);
+  void execute(const handover::LogMessage& e);
 
-  void hear();
+  void receive_messages();
   void flush();
-  void queue_state();
-  void bury();
-  void time_due();
-  void await_word();
-  void await_end();
-  void stand_still();
+  void queue_state_chunk();
+  void reap_peer();
+  void check_timer();
+  void await_message();
+  void await_peer_exit();
+  void run_while_frozen();
 
   asio::io_context& io_;
   const CommandLine command_;
@@ -80,29 +81,29 @@
   Log& log_;
   handover::OldSide side_;
   std::deque<handover::OldInput> inputs_;
-  bool at_work_ = false;
-  bool trying_ = false;
+  bool dispatching_ = false;
+  bool upgrade_in_progress_ = false;
   std::string program_;  // of the upgrade that is under way
   bool frozen_ = false;
-  std::string said_;  // why the newest try has failed
+  std::string failure_reason_;  // why the newest try has failed
 
   // Of the newest try; none between two.
   struct Peer {
     Child child;
     Channel channel;
-    bool hears = true;  // the channel may still bring something
-    asio::posix::stream_descriptor ear, life;
+    bool channel_open = true;  // the channel may still bring something
+    asio::posix::stream_descriptor channel_readable, process_ended;
   };
   std::unique_ptr<Peer> peer_;
-  struct Sending {
+  struct StateTransfer {
     std::string state;
-    std::size_t sent = 0;
-    DescriptorsOut descriptors;
+    std::size_t sent_bytes = 0;
+    OutgoingDescriptors descriptors;
     std::size_t descriptors_sent = 0;
-    bool ended = false;  // all of it is queued
+    bool end_queued = false;  // all of it is queued
   };
-  std::optional<Sending> sending_;
-  std::optional<handover::Time> due_;
+  std::optional<StateTransfer> state_transfer_;
+  std::optional<handover::Time> timer_deadline_;
   asio::steady_timer timer_;
 };
 
--- a/src/upgrade/run_file.cpp
+++ b/src/upgrade/run_file.cpp
@@ -9,32 +9,33 @@
 namespace fennellane::upgrade {
 namespace {
 
-constexpr const char* kName = "/serving";
-constexpr const char* kNewName = "/serving.new";
-constexpr std::size_t kMostLast = 300;  // bytes; one block of the disk holds the file
+constexpr const char* kFileName = "/serving";
+constexpr const char* kTemporaryName = "/serving.new";
+constexpr std::size_t kMaxResultBytes = 300;  // bytes; one block of the disk holds the file
 
 }  // namespace
 
 std::optional<RunFile> read_run_file(const std::string& folder) {
-  std::ifstream in(folder + kName);
+  std::ifstream in(folder + kFileName);
   RunFile file;
   std::string word, end;
   if (!(in >> word >> file.pid) || word != "pid" || file.pid <= 0) return std::nullopt;
-  if (!(in >> word >> file.next) || word != "next") return std::nullopt;
-  if (!(in >> word >> file.tries) || word != "tries" || !(in >> word >> end) || word != "last")
+  if (!(in >> word >> file.next_pid) || word != "next") return std::nullopt;
+  if (!(in >> word >> file.finished_upgrades) || word != "tries" || !(in >> word >> end) || word != "last")
     return std::nullopt;
-  file.good = end == "good";
-  std::getline(in >> std::ws, file.last);
+  file.last_succeeded = end == "good";
+  std::getline(in >> std::ws, file.last_result);
   return file;
 }
 
 bool write_run_file(const std::string& folder, const RunFile& file) {
-  const std::string text = "pid " + std::to_string(file.pid) + "\nnext " + std::to_string(file.next) +
-                           "\ntries " + std::to_string(file.tries) + "\nlast " +
-                           (file.good ? "good " : "bad ") + file.last.substr(0, kMostLast) + "\n";
-  return replace_file(folder + kName, folder + kNewName, text);
+  const std::string text = "pid " + std::to_string(file.pid) + "\nnext " + std::to_string(file.next_pid) +
+                           "\ntries " + std::to_string(file.finished_upgrades) + "\nlast " +
+                           (file.last_succeeded ? "good " : "bad ") +
+                           file.last_result.substr(0, kMaxResultBytes) + "\n";
+  return replace_file(folder + kFileName, folder + kTemporaryName, text);
 }
 
-void remove_run_file(const std::string& folder) { ::unlink((folder + kName).c_str()); }
+void remove_run_file(const std::string& folder) { ::unlink((folder + kFileName).c_str()); }
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/run_file.hpp
+++ b/src/upgrade/run_file.hpp
@@ -11,11 +11,11 @@
 namespace fennellane::upgrade {
 
 struct RunFile {
-  pid_t pid = 0;            // that serves
-  pid_t next = 0;           // that is to take over, while an upgrade is under way; 0 = none is
-  std::uint64_t tries = 0;  // upgrades that have ended, well or not
-  bool good = false;        // the last of them took over
-  std::string last;         // what was said of it, one line
+  pid_t pid = 0;                        // that serves
+  pid_t next_pid = 0;                   // that is to take over, while an upgrade is under way; 0 = none is
+  std::uint64_t finished_upgrades = 0;  // upgrades that have ended, well or not
+  bool last_succeeded = false;          // the last of them took over
+  std::string last_result;              // what was said of it, one line
 };
 
 std::optional<RunFile> read_run_file(const std::string& folder);
--- a/src/upgrade/watch.cpp
+++ b/src/upgrade/watch.cpp
@@ -20,10 +20,10 @@
 using std::chrono::steady_clock;
 
 // A process that takes over from a dead one has all it needs, or ends: this long is for the first.
-constexpr std::chrono::seconds kTakeOver{2};
-constexpr milliseconds kResend{200};
-constexpr milliseconds kLook{2};
-constexpr std::size_t kMostResent = 16;
+constexpr std::chrono::seconds kTakeoverTimeout{2};
+constexpr milliseconds kResendWindow{200};
+constexpr milliseconds kPollInterval{2};
+constexpr std::size_t kMaxResent = 16;
 
 bool is_child(pid_t pid) {
   siginfo_t info{};
@@ -35,7 +35,7 @@
   return ::waitid(P_ALL, 0, &info, WEXITED | WNOHANG | WNOWAIT) == 0;
 }
 
-int end_like(int status) {
+int exit_like(int status) {
   if (WIFEXITED(status)) return WEXITSTATUS(status);
   const int number = WTERMSIG(status);
   const rlimit no_core{0, 0};
@@ -51,73 +51,75 @@
 class Watcher {
  public:
   Watcher(pid_t serving, std::string state_folder)
-      : serving_(serving), state_folder_(std::move(state_folder)) {}
+      : serving_pid_(serving), state_folder_(std::move(state_folder)) {}
 
-  void hand_on(int number) {
+  void forward_signal(int number) {
     const auto now = steady_clock::now();
-    while (!sent_.empty() && (sent_.size() >= kMostResent || now - sent_.front().at > kResend))
-      sent_.pop_front();
-    sent_.push_back({number, now});
-    ::kill(serving_, number);
+    while (!sent_signals_.empty() &&
+           (sent_signals_.size() >= kMaxResent || now - sent_signals_.front().sent_at > kResendWindow))
+      sent_signals_.pop_front();
+    sent_signals_.push_back({number, now});
+    ::kill(serving_pid_, number);
   }
 
   // The status that the relay has ended with, once none of its processes goes on.
   std::optional<int> reap() {
     int status = 0;
     for (pid_t pid; (pid = ::waitpid(-1, &status, WNOHANG)) > 0;) {
-      if (pid != serving_) continue;
+      if (pid != serving_pid_) continue;
       const int ended = status;
-      const std::optional<pid_t> next = successor(WIFEXITED(ended) && WEXITSTATUS(ended) == kLeft);
+      const std::optional<pid_t> next =
+          find_successor(WIFEXITED(ended) && WEXITSTATUS(ended) == kHandedOverExitCode);
       if (!next) return ended;
-      serving_ = *next;
+      serving_pid_ = *next;
       // Guards against a signal that the process before was handed and did not live to look at.
       const auto now = steady_clock::now();
-      for (const Sent& s : sent_) {
-        if (s.number != SIGUSR2 && now - s.at <= kResend) ::kill(serving_, s.number);
+      for (const SentSignal& s : sent_signals_) {
+        if (s.number != SIGUSR2 && now - s.sent_at <= kResendWindow) ::kill(serving_pid_, s.number);
       }
     }
     return std::nullopt;
   }
 
  private:
-  struct Sent {
+  struct SentSignal {
     int number;
-    steady_clock::time_point at;
+    steady_clock::time_point sent_at;
   };
 
   // `left`: the one before has said that another serves.
-  std::optional<pid_t> successor(bool left) {
-    const auto end = steady_clock::now() + kTakeOver;
+  std::optional<pid_t> find_successor(bool left) {
+    const auto end = steady_clock::now() + kTakeoverTimeout;
     std::optional<RunFile> file;
     while (any_child()) {
       file = read_run_file(state_folder_);
-      if (file && file->pid != serving_ && is_child(file->pid)) return file->pid;
-      if (left && file && file->next > 0 && is_child(file->next)) return file->next;
-      if (file && (file->next <= 0 || !is_child(file->next))) return std::nullopt;
+      if (file && file->pid != serving_pid_ && is_child(file->pid)) return file->pid;
+      if (left && file && file->next_pid > 0 && is_child(file->next_pid)) return file->next_pid;
+      if (file && (file->next_pid <= 0 || !is_child(file->next_pid))) return std::nullopt;
       // It may have ended, which is why nobody serves.
       siginfo_t info{};
-      if (file && ::waitid(P_PID, static_cast<id_t>(file->next), &info, WEXITED | WNOHANG) == 0 &&
-          info.si_pid == file->next) {
+      if (file && ::waitid(P_PID, static_cast<id_t>(file->next_pid), &info, WEXITED | WNOHANG) == 0 &&
+          info.si_pid == file->next_pid) {
         return std::nullopt;
       }
       if (steady_clock::now() > end) {
         // Guards against one that hangs and would serve later, unwatched.
-        if (file) ::kill(file->next, SIGKILL);
+        if (file) ::kill(file->next_pid, SIGKILL);
         return std::nullopt;
       }
-      std::this_thread::sleep_for(kLook);
+      std::this_thread::sleep_for(kPollInterval);
     }
     return std::nullopt;
   }
 
-  pid_t serving_;
+  pid_t serving_pid_;
   const std::string state_folder_;
-  std::deque<Sent> sent_;
+  std::deque<SentSignal> sent_signals_;
 };
 
 }  // namespace
 
-int watch_over(const CommandLine& command, const std::string& state_folder) {
+int run_watcher(const CommandLine& command, const std::string& state_folder) {
   sigset_t set;
   sigemptyset(&set);
   for (const int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2, SIGCHLD}) sigaddset(&set, number);
@@ -129,14 +131,14 @@
     int number = 0;
     if (::sigwait(&set, &number) != 0) continue;
     if (number != SIGCHLD) {
-      watcher.hand_on(number);
+      watcher.forward_signal(number);
     } else if (const std::optional<int> ended = watcher.reap()) {
-      return end_like(*ended);
+      return exit_like(*ended);
     }
   }
 }
 
-void die_with(pid_t watcher) {
+void set_parent_death_signal(pid_t watcher) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL, 0, 0, 0);
   if (::getppid() != watcher) ::raise(SIGKILL);
 }
--- a/src/upgrade/watch.hpp
+++ b/src/upgrade/watch.hpp
@@ -9,14 +9,14 @@
 namespace fennellane::upgrade {
 
 // The code with which a process ends that has left its work to another.
-inline constexpr int kLeft = 88;
+inline constexpr int kHandedOverExitCode = 88;
 
 // Returns the exit code; where the relay was ended by a signal, this process is ended by the same. Throws
 // std::system_error where nothing can be started.
-int watch_over(const CommandLine& command, const std::string& state_folder);
+int run_watcher(const CommandLine& command, const std::string& state_folder);
 
 // In a process that serves: should its watcher die, it is killed at once, so that whoever kills the one has
 // killed the relay.
-void die_with(pid_t watcher);
+void set_parent_death_signal(pid_t watcher);
 
 }  // namespace fennellane::upgrade
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -38,16 +38,16 @@
     "guarantees.cold_from=0.2\nguarantees.overload_factor=2.0\nguarantees.fall_us=3000000\nskus=a,b\n"
     "request_classes.count=1\nrequest_classes.0.effect=free\nrequest_classes.0.aim_us=2000000\n"
     "request_classes.0.give_up_us=8000000\nsome.new_key=anything\n";
-std::string start_record(int instance, std::size_t from, std::size_t length) {
+std::string new_instance_record(int instance, std::size_t from, std::size_t length) {
   return record(number(25, 1) + number(instance, 2) + number(7, 8) + number(from, 4) + number(length, 4));
 }
 std::string list_record(int list, std::size_t from, std::size_t entries) {
   return record(number(18, 1) + number(list, 2) + number(from, 4) + number(entries, 4));
 }
-std::string roster_record(int instance, int form, int list) {
+std::string list_change_record(int instance, int form, int list) {
   return record(number(23, 1) + number(instance, 2) + number(form, 1) + number(list, 2) + number(1, 4));
 }
-std::string order_record(int instance, std::uint64_t id, std::uint32_t destination_bits) {
+std::string message_record(int instance, std::uint64_t id, std::uint32_t destination_bits) {
   return record(number(21, 1) + number(instance, 2) + number(id, 8) + number(0, 1) + number(0, 4) +
                 number(0, 8) + number(8000000, 4) + number(0, 4) + number(destination_bits, 4) +
                 number(0, 1));
@@ -67,7 +67,7 @@
   EXPECT_EQ(e.ended.attempt, 2u);
   EXPECT_EQ(e.ended.endpoint, 5u);
   EXPECT_EQ(e.ended.outcome, Outcome::full);
-  EXPECT_EQ(e.ended.told_wait, Time(750000));
+  EXPECT_EQ(e.ended.retry_after, Time(750000));
   EXPECT_FALSE(e.ended.finished);
   ASSERT_EQ(e.stat_count, 2);
   EXPECT_FLOAT_EQ(e.stats[0], 0.5F);
@@ -82,25 +82,25 @@
   wire::Batch batch = wire::decode_batch(frame(1, {moot(1), moot(0)}));
   EXPECT_TRUE(batch.events[0].ended.no_slot);
   EXPECT_FALSE(batch.events[1].ended.no_slot);
-  EXPECT_EQ(batch.events[0].ended.told_wait, Time(0));
+  EXPECT_EQ(batch.events[0].ended.retry_after, Time(0));
 }
 
 TEST(Codec, RefusesWhatIsInconsistent) {
   std::string good = frame(1, {record(number(26, 1) + number(3, 2) + number(9, 8))});
   EXPECT_EQ(wire::decode_batch(good).events.size(), 1u);
-  EXPECT_THROW(wire::decode_batch(good.substr(0, good.size() - 1)), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(good + "x"), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(frame(1, {record(number(99, 1))})), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(frame(1, {list_record(0, 0, 1)}, "short")), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(frame(1, {list_record(16, 0, 0)})), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(frame(1, {roster_record(0, 4, 0)})), wire::BadInput);
+  EXPECT_THROW(wire::decode_batch(good.substr(0, good.size() - 1)), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(good + "x"), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(frame(1, {record(number(99, 1))})), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(frame(1, {list_record(0, 0, 1)}, "short")), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(frame(1, {list_record(16, 0, 0)})), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(frame(1, {list_change_record(0, 4, 0)})), wire::InputError);
   std::string note =
       record(number(19, 1) + number(3, 2) + number(2, 4) + number(0xffffffff, 4) + number(4, 4));
-  EXPECT_THROW(wire::decode_batch(frame(1, {note}, "hi 7")), wire::BadInput);
+  EXPECT_THROW(wire::decode_batch(frame(1, {note}, "hi 7")), wire::InputError);
   std::string outcome =
       record(number(17, 1) + number(3, 2) + number(99, 8) + number(0, 1) + number(5, 4) + number(8, 2));
-  EXPECT_THROW(wire::decode_batch(frame(1, {outcome})), wire::BadInput);
-  EXPECT_THROW(wire::decode_batch(frame(1, {order_record(0, 1, 0x7fc00000)})), wire::BadInput);
+  EXPECT_THROW(wire::decode_batch(frame(1, {outcome})), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(frame(1, {message_record(0, 1, 0x7fc00000)})), wire::InputError);
 }
 
 TEST(Codec, EncodesEveryAction) {
@@ -114,7 +114,7 @@
   w.add(3, SetTimer{Time(0x87fd7a), 0x4d});
   w.add(3, WatchList{});
   w.add(3, FetchList{});
-  w.add(5, LogLine{"two"});
+  w.add(5, LogMessage{"two"});
   auto action = [](std::string s) {
     s.resize(wire::kActionSize, '\0');
     return s;
@@ -139,31 +139,31 @@
 }
 
 TEST(BootInfo, SkipsUnknownKeysAndNamesWhatIsMissing) {
-  wire::BootInfo info = wire::parse_boot_info(kSettings, 7);
+  wire::InstanceSettings info = wire::parse_instance_settings(kSettings, 7);
   EXPECT_EQ(info.settings.slots, 8u);
   EXPECT_EQ(info.settings.kinds.size(), 2u);
   EXPECT_EQ(info.settings.classes.at(0).aim, Time(2000000));
-  EXPECT_DOUBLE_EQ(info.settings.cold_from, 0.2);
+  EXPECT_DOUBLE_EQ(info.settings.slow_start_min_share, 0.2);
   std::string text = kSettings;
   std::string broken = text;
   broken.replace(broken.find("max_calls=8"), 11, "max_calls=x");
-  EXPECT_THROW(wire::parse_boot_info(broken, 7), wire::BadInput);
+  EXPECT_THROW(wire::parse_instance_settings(broken, 7), wire::InputError);
   broken = text;
   broken.replace(broken.find("effect=free"), 11, "effect=what");
-  EXPECT_THROW(wire::parse_boot_info(broken, 7), wire::BadInput);
-  EXPECT_THROW(wire::parse_boot_info("n_instances=2\n", 7), wire::BadInput);
+  EXPECT_THROW(wire::parse_instance_settings(broken, 7), wire::InputError);
+  EXPECT_THROW(wire::parse_instance_settings("n_instances=2\n", 7), wire::InputError);
 }
 
 TEST(Instances, ReusesAListNumberInsideABatch) {
   std::string tail = std::string(kSettings) + entry(0, 0, kForty, 11, 1, 1) + entry(0, 0, kForty, 12, 1, 2);
   std::size_t n = std::string(kSettings).size();
   wire::Instances instances;
-  std::string reply =
-      instances.play(frame(1000,
-                           {start_record(0, 0, n), start_record(1, 0, n), list_record(0, n, 1),
-                            roster_record(0, 1, 0), list_record(0, n + wire::kEntrySize, 1),
-                            roster_record(1, 1, 0), order_record(0, 5, kOne), order_record(1, 6, kTwo)},
-                           tail));
+  std::string reply = instances.process_frame(
+      frame(1000,
+            {new_instance_record(0, 0, n), new_instance_record(1, 0, n), list_record(0, n, 1),
+             list_change_record(0, 1, 0), list_record(0, n + wire::kEntrySize, 1),
+             list_change_record(1, 1, 0), message_record(0, 5, kOne), message_record(1, 6, kTwo)},
+            tail));
   std::string first = number(16, 1) + number(0, 2) + number(5, 8) + number(11, 4);
   std::string second = number(16, 1) + number(1, 2) + number(6, 8) + number(12, 4);
   EXPECT_NE(reply.find(first), std::string::npos);
@@ -176,17 +176,18 @@
     const std::string text = std::string(kSettings) + (told ? "weights=nominal\n" : "weights=none\n");
     const std::string tail = text + entry(0, 0, 0x3f800000, 11, 1, 1);
     wire::Instances instances;
-    instances.play(
-        frame(1000, {start_record(0, 0, text.size()), list_record(0, text.size(), 1), roster_record(0, 1, 0)},
-              tail));
+    instances.process_frame(frame(
+        1000,
+        {new_instance_record(0, 0, text.size()), list_record(0, text.size(), 1), list_change_record(0, 1, 0)},
+        tail));
     std::size_t sent = 0;
     for (std::uint64_t id = 1; id <= 12; ++id) {
       const std::uint64_t clock = 1000 + id * 10000;
-      const std::string reply = instances.play(frame(clock, {order_record(0, id, kOne)}));
+      const std::string reply = instances.process_frame(frame(clock, {message_record(0, id, kOne)}));
       for (std::uint64_t done = 1; done <= id; ++done) {
         if (reply.find(number(16, 1) + number(0, 2) + number(done, 8)) == std::string::npos) continue;
         ++sent;
-        instances.play(
+        instances.process_frame(
             frame(clock + 5000, {record(number(17, 1) + number(0, 2) + number(done, 8) + number(0, 1) +
                                         number(11, 4) + number(1, 2) + number(5000, 4) + number(1, 1))}));
       }
@@ -200,15 +201,15 @@
 }
 
 TEST(BootInfo, ReadsWhatTheNewDeploymentsTell) {
-  const wire::BootInfo info = wire::parse_boot_info(
+  const wire::InstanceSettings info = wire::parse_instance_settings(
       std::string(kSettings) +
           "limits.streams_per_conn=8\nguarantees.key_quiet_us=100000\ndomain.late=by_half\n"
           "domain.kind_batch=5,1\nfeedback.names=x0,x1\nrequest_classes.0.sequential=true\n",
       7);
   EXPECT_EQ(info.settings.calls_per_connection, 8u);
-  EXPECT_EQ(info.settings.key_quiet, Time(100000));
-  EXPECT_EQ(info.settings.late, starlinghook::LateWorth::halves);
-  EXPECT_EQ(info.settings.kinds.at(0).batch, 5u);
+  EXPECT_EQ(info.settings.key_quiet_time, Time(100000));
+  EXPECT_EQ(info.settings.late_worth_decay, starlinghook::LateWorthDecay::exponential);
+  EXPECT_EQ(info.settings.kinds.at(0).max_batch, 5u);
   EXPECT_TRUE(info.settings.reports_allowance);
   EXPECT_TRUE(info.settings.classes.at(0).sequential);
 }
@@ -217,26 +218,27 @@
   std::string tail = std::string(kSettings) + entry(0, 0, kForty, 11, 1, 1);
   std::size_t n = std::string(kSettings).size();
   wire::Instances instances;
-  instances.play(frame(1000, {start_record(0, 0, n), list_record(0, n, 1), roster_record(0, 1, 0)}, tail));
+  instances.process_frame(
+      frame(1000, {new_instance_record(0, 0, n), list_record(0, n, 1), list_change_record(0, 1, 0)}, tail));
   std::string kill = record(number(22, 1) + number(0, 2));
-  std::string reply =
-      instances.play(frame(2000, {kill, start_record(0, 0, n), order_record(0, 5, kOne)}, kSettings));
+  std::string reply = instances.process_frame(
+      frame(2000, {kill, new_instance_record(0, 0, n), message_record(0, 5, kOne)}, kSettings));
   EXPECT_EQ(reply.find(number(16, 1) + number(0, 2) + number(5, 8)), std::string::npos)
       << "its list was forgotten";
-  EXPECT_THROW(instances.play(frame(3000, {kill, order_record(0, 6, kOne)})), wire::BadInput);
+  EXPECT_THROW(instances.process_frame(frame(3000, {kill, message_record(0, 6, kOne)})), wire::InputError);
 }
 
 TEST(Instances, AnswersAnEmptyBatch) {
   wire::Instances instances;
-  EXPECT_EQ(instances.play(frame(1, {})), number(8, 4) + number(0, 4));
+  EXPECT_EQ(instances.process_frame(frame(1, {})), number(8, 4) + number(0, 4));
 }
 
 TEST(Instances, ReportsAnExceptionOfTheModuleAsPanic) {
   std::string tail = kSettings;
   wire::Instances instances;
-  instances.play(frame(1000, {start_record(0, 0, tail.size())}, tail));
+  instances.process_frame(frame(1000, {new_instance_record(0, 0, tail.size())}, tail));
   std::string probe = record(number(16, 1) + number(0, 2) + number(77, 4) + number(1, 2));
-  std::string reply = instances.play(frame(2000, {probe}));  // of an endpoint that was in no list
+  std::string reply = instances.process_frame(frame(2000, {probe}));  // of an endpoint that was in no list
   EXPECT_EQ(static_cast<unsigned char>(reply.at(8)), 25u);
 }
 
--- a/tests/places_test.cpp
+++ b/tests/connection_table_test.cpp
@@ -1,5 +1,5 @@
 // Who may stay among the clients' connections: against a model that looks through all of them at every step.
-#include "places.hpp"
+#include "connection_table.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-const PlacesLimits kLimits{8, 3, milliseconds(250), milliseconds(50)};
+const ConnectionTableLimits kLimits{8, 3, milliseconds(250), milliseconds(50)};
 
 // What the module promises, in its plainest form.
 struct Model {
@@ -31,10 +31,10 @@
       const Time age = now - c.since;
       int claim = 9;
       if (c.rank == 0) claim = 0;
-      if ((c.rank == 1 || c.rank == 4) && age >= kLimits.silent) claim = 1;
-      if (c.rank == 2 && age >= kLimits.silent) claim = 2;
-      if (c.rank == 3 && age >= kLimits.silent) claim = 3;
-      if (c.rank == 4 && claim == 9 && age >= kLimits.newcomer) claim = 4;
+      if ((c.rank == 1 || c.rank == 4) && age >= kLimits.min_silence) claim = 1;
+      if (c.rank == 2 && age >= kLimits.min_silence) claim = 2;
+      if (c.rank == 3 && age >= kLimits.min_silence) claim = 3;
+      if (c.rank == 4 && claim == 9 && age >= kLimits.min_age) claim = 4;
       if (claim == 9) continue;
       const Key key{claim, c.since, id};
       if (!best || key < *best) best = key;
@@ -51,13 +51,13 @@
     for (const auto& [id, c] : clients) {
       if (c.rank == 3 && (!best || std::pair(c.since, id) < *best)) best = std::pair(c.since, id);
     }
-    if (!best || asking() <= kLimits.asking) return std::nullopt;
+    if (!best || asking() <= kLimits.max_submitting) return std::nullopt;
     return best->second;
   }
 };
 
 RC_GTEST_PROP(Places, AgreeWithAModelThatLooksThroughAll, ()) {
-  Places places(kLimits);
+  ConnectionTable places(kLimits);
   Model model;
   Time now{};
   const auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
@@ -69,20 +69,20 @@
     const bool here = it != model.clients.end();
     switch (what) {
       case 0:
-        places.enter(id, now);
+        places.add(id, now);
         if (!here) model.clients[id] = {4, now, false};
         break;
       case 1:
-        places.begun(id, now);
+        places.request_started(id, now);
         if (here && it->second.rank != 4 && it->second.rank != 1) it->second.rank = 1, it->second.since = now;
         break;
       case 2:
-        places.busy(id);
+        places.mark_busy(id);
         if (here) it->second.rank = 9;
         break;
       case 3:
       case 4:
-        places.rests(id, now, what == 4);
+        places.mark_idle(id, now, what == 4);
         if (here) {
           it->second.asks |= what == 4;
           it->second.rank = it->second.asks ? 3 : 2;
@@ -90,19 +90,19 @@
         }
         break;
       case 5:
-        places.closes(id, now);
+        places.mark_closing(id, now);
         if (here) it->second.rank = 0, it->second.since = now;
         break;
       case 6:
-        places.leave(id);
+        places.remove(id);
         model.clients.erase(id);
         break;
     }
     RC_ASSERT(places.size() == model.clients.size());
-    RC_ASSERT(places.asking() == model.asking());
-    RC_ASSERT(places.room() == (model.clients.size() + 1 < kLimits.places));
-    RC_ASSERT(places.least(now) == model.least(now));
-    RC_ASSERT(places.surplus() == model.surplus());
+    RC_ASSERT(places.submitting() == model.asking());
+    RC_ASSERT(places.has_room() == (model.clients.size() + 1 < kLimits.max_connections));
+    RC_ASSERT(places.eviction_candidate(now) == model.least(now));
+    RC_ASSERT(places.surplus_idle() == model.surplus());
   }
 }
 
@@ -110,24 +110,24 @@
 // which they keep; flooding ones look once and stay. Nobody may wait for a place, or for a connection, for
 // long.
 TEST(Places, ThoseWhoAskOnceAndStayNeitherUseUpThePlacesNorTheCallersConnections) {
-  Places places({16, 4, milliseconds(250), milliseconds(50)});
+  ConnectionTable places({16, 4, milliseconds(250), milliseconds(50)});
   ClientId next = 0;
   std::size_t most_asking = 0, no_room = 0;
   for (Time now{}; now < std::chrono::seconds(20); now += milliseconds(10)) {
     const bool floods = now.count() % 20'000 != 0;  // every second one hands in a message
-    while (!places.room()) {
-      const auto id = places.least(now);
+    while (!places.has_room()) {
+      const auto id = places.eviction_candidate(now);
       if (!id) break;
-      places.leave(*id);
+      places.remove(*id);
     }
-    if (!places.room()) {
+    if (!places.has_room()) {
       ++no_room;
       continue;
     }
-    places.enter(next, now);
-    places.rests(next++, now, !floods);
-    while (const auto id = places.surplus()) places.leave(*id);
-    most_asking = std::max(most_asking, places.asking());
+    places.add(next, now);
+    places.mark_idle(next++, now, !floods);
+    while (const auto id = places.surplus_idle()) places.remove(*id);
+    most_asking = std::max(most_asking, places.submitting());
   }
   EXPECT_LE(most_asking, 4u);
   // Sixteen places and 250 ms for each: 64 a second find one, all that came here find at most two thirds.
--- a/tests/consul_test.cpp
+++ b/tests/consul_test.cpp
@@ -51,7 +51,7 @@
   Server other{[](const Request&) { return answer("200 OK"); }};
   Platform platform{{{"p-1", other.address()}}};
   ConsulAgent agent;
-  Program relay{platform.address()};
+  RelayProgram relay{platform.address()};
 };
 
 TEST_F(Consul, DeliversToWhatTheCatalogueNames) {
@@ -327,7 +327,7 @@
                          [&](const standin::Put& p) { return p.target.find(part) != std::string::npos; });
   };
   ASSERT_TRUE(happens([&] { return puts("/check/pass/") > 0; }));
-  ASSERT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), std::chrono::seconds(90)), 0) << relay.log();
+  ASSERT_EQ(upgrade::request_upgrade(relay.state_folder(), std::chrono::seconds(90)), 0) << relay.log();
   const auto beats = puts("/check/pass/");
   EXPECT_TRUE(happens([&] { return puts("/check/pass/") > beats + 1; }));
   EXPECT_EQ(puts("/service/register"), 1);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -49,7 +49,7 @@
   std::vector<HostLine> hosts;
   for (int i = 0; i < kMessages; ++i) hosts.push_back({"s-" + std::to_string(i), host.address(), 7 + i});
   Platform platform(hosts);
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < kMessages; ++i) {
     const std::string request = request_to(7 + i, "late" + std::to_string(i));
@@ -79,7 +79,7 @@
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(silent_once.address(), parts);
+  RelayProgram relay(silent_once.address(), parts);
   relay.start();
   ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   ASSERT_TRUE(happens([&] { return second != 0; })) << relay.log();
@@ -104,7 +104,7 @@
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(refusing.address(), parts);
+  RelayProgram relay(refusing.address(), parts);
   relay.start();
   ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   ASSERT_TRUE(happens([&] {
@@ -127,7 +127,7 @@
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(slow.address(), parts);
+  RelayProgram relay(slow.address(), parts);
   relay.start();
   ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; })) << relay.log();
@@ -142,7 +142,7 @@
   std::string address() const { return server_.address(); }
 
   // How long it takes the relay to be there again, after so many tries in vain.
-  milliseconds time_to_return(int tries, const Program& relay) {
+  milliseconds time_to_return(int tries, const RelayProgram& relay) {
     EXPECT_TRUE(happens([&] { return tries_ >= tries; }, seconds(120))) << relay.log();
     const auto up = std::chrono::steady_clock::now();
     down_ = false;
@@ -171,7 +171,7 @@
   ReturningDiscovery discovery(kReset);
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(discovery.address(), parts);
+  RelayProgram relay(discovery.address(), parts);
   relay.start();
   EXPECT_LT(discovery.time_to_return(8, relay), seconds(6));
 }
@@ -181,7 +181,7 @@
   ReturningDiscovery discovery("");
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(discovery.address(), parts);
+  RelayProgram relay(discovery.address(), parts);
   relay.start();
   EXPECT_LT(discovery.time_to_return(6, relay), seconds(6));
 }
@@ -197,7 +197,7 @@
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  Program relay(discovery.address(), parts);
+  RelayProgram relay(discovery.address(), parts);
   relay.start();
   ASSERT_TRUE(happens([&] { return watches == 1; })) << relay.log();
   const auto silent = std::chrono::steady_clock::now();
@@ -214,7 +214,7 @@
   ASSERT_GT(std::count(list.begin(), list.end(), '\n'), 5);
   const std::string half = list.substr(0, list.size() / 2);
   Platform platform({{"s-1", refusing_address(), 7}}, half + "\n\n");
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   ASSERT_TRUE(happens([&] { return platform.watches() >= 2; })) << relay.log();
   platform.set_watch(list + "\n");
@@ -230,7 +230,7 @@
   ConfigParts parts;
   parts.sockets = 96;
   parts.known = {{"s-1", host.address(), 7}, {"s-2", refusing_address(), 8}};
-  Program relay(refusing_address(), parts);
+  RelayProgram relay(refusing_address(), parts);
   relay.start();
   asio::io_context io;
   std::vector<tcp::socket> idle;
@@ -250,7 +250,7 @@
 TEST(Crossings, ARequestThatComesBehindTheShutdownIsLeftToItsClient) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   asio::io_context io;
   tcp::socket resting = relay.connected(io);
@@ -272,7 +272,7 @@
 TEST(Crossings, ARequestThatIsHalfReadAtSigtermIsAnswered) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   asio::io_context io;
   tcp::socket client = relay.connected(io);
@@ -292,7 +292,7 @@
 TEST(Crossings, AnAnswerSurvivesTheCloseOverUnreadBytes) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < 20; ++i) {
     asio::io_context io;
@@ -374,7 +374,7 @@
   std::atomic<bool> serves = false;
   Server host([&](const Request&) { return serves ? answer("200 OK") : std::string(); });
   Platform platform({{"s-1", host.address(), 7}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < kMessages; ++i) ASSERT_EQ(relay.ask(request_to(7, "m" + std::to_string(i))), 202u);
   ASSERT_TRUE(happens([&] { return host.requests().size() == 1; }));  // the window begins at one call
--- a/tests/drains_lab_test.cpp
+++ b/tests/drains_lab_test.cpp
@@ -82,7 +82,7 @@
   ASSERT_TRUE(lab.waits_for_holder_other_than(lab.size()));
   lab.ask_outing(0);
   ASSERT_TRUE(happens([&] { return gone_out(lab) == 1; }));
-  EXPECT_EQ(upgrade::ask_for_upgrade(lab.relay(1).state_folder(), seconds(1)), 1);
+  EXPECT_EQ(upgrade::request_upgrade(lab.relay(1).state_folder(), seconds(1)), 1);
   const std::string waits = "no slot, and serves on: 1 of 1 are out: r0";
   EXPECT_TRUE(happens([&] { return lab.relay(1).logged(waits) > 0; })) << lab.relay(1).log();
   EXPECT_EQ(lab.relay(1).logged(waits), 1u);
@@ -187,8 +187,8 @@
 
 TEST_F(Releases, TwelveRelaysMoveInWavesWithinTheBudget) {
   begin(12, 2);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "b"), "");
-  EXPECT_NE(release->order(ReleaseOrder::What::start, "sick").find("is under way"), std::string::npos);
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "b"), "");
+  EXPECT_NE(release->order(ReleaseRequest::Action::start, "sick").find("is under way"), std::string::npos);
   ASSERT_TRUE(release->comes_to(release::Phase::done)) << state_json(state());
   EXPECT_EQ(state().waves.size(), 3u);
   expect_kept("b");
@@ -196,10 +196,10 @@
 
 TEST_F(Releases, ABuildThatServesWorseIsTakenBackWithinItsFirstWave) {
   begin(12, 2);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "sick"), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "sick"), "");
   ASSERT_TRUE(release->comes_to(release::Phase::returned)) << state_json(state());
   EXPECT_EQ(state().wave, 0u);
-  EXPECT_NE(state().why.find("undelivered"), std::string::npos) << state().why;
+  EXPECT_NE(state().reason.find("undelivered"), std::string::npos) << state().reason;
   std::size_t moved = 0;
   for (std::size_t i = 0; i < 12; ++i) moved += lab().relay(i).logged("is started: " + builds.path("sick"));
   EXPECT_EQ(moved, 1u);
@@ -208,21 +208,21 @@
 
 TEST_F(Releases, ABuildThatDoesNotStartIsNotTriedOnAnotherRelay) {
   begin(4, 2);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "broken"), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "broken"), "");
   ASSERT_TRUE(release->comes_to(release::Phase::returned)) << state_json(state());
-  EXPECT_NE(state().why.find("could not move"), std::string::npos) << state().why;
+  EXPECT_NE(state().reason.find("could not move"), std::string::npos) << state().reason;
   expect_kept("a");
 }
 
 TEST_F(Releases, AnOperatorsHaltHoldsAndBackReturnsTheMoved) {
   begin(4, 1, 3000);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "b"), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "b"), "");
   ASSERT_TRUE(happens([&] { return release->serving("b") == 1; }));
-  ASSERT_EQ(release->order(ReleaseOrder::What::halt), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::halt), "");
   std::this_thread::sleep_for(milliseconds(4000));  // past what the wave is watched
   EXPECT_EQ(release->serving("b"), 1u);
   EXPECT_EQ(state().phase, release::Phase::halted);
-  ASSERT_EQ(release->order(ReleaseOrder::What::back), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::back), "");
   ASSERT_TRUE(release->comes_to(release::Phase::returned)) << state_json(state());
   expect_kept("a");
 }
@@ -230,7 +230,7 @@
 // Another takes up from the state in the store, and the one that wakes moves nothing.
 TEST_F(Releases, ACoordinatorThatIsPausedIsFollowed) {
   begin(4, 2);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "b"), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "b"), "");
   ASSERT_TRUE(happens([&] { return state().phase == release::Phase::rolling; }));
   const std::size_t paused = lab().holder();
   ASSERT_LT(paused, lab().size());
@@ -244,7 +244,7 @@
 
 TEST_F(Releases, ACoordinatorThatIsKilledIsFollowedAndComesBackWithTheNewBuild) {
   begin(4, 2);
-  ASSERT_EQ(release->order(ReleaseOrder::What::start, "b"), "");
+  ASSERT_EQ(release->order(ReleaseRequest::Action::start, "b"), "");
   ASSERT_TRUE(happens([&] { return state().phase == release::Phase::rolling; }));
   const std::size_t killed = lab().holder();
   ASSERT_LT(killed, lab().size());
--- a/tests/ejection_test.cpp
+++ b/tests/ejection_test.cpp
@@ -27,7 +27,7 @@
   return nullptr;
 }
 
-Ailing ill(const std::string& host, double bad, State state = State::failing) {
+DegradedEndpoint ill(const std::string& host, double bad, DegradationKind state = DegradationKind::failing) {
   return {host, state, bad, false};
 }
 const std::vector<Listed> kFour = {{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}};
@@ -39,7 +39,7 @@
   EXPECT_EQ(v.out, (std::vector<std::string>{"b", "c"}));
   EXPECT_EQ(v.closed, std::vector<std::uint32_t>{1});
   EXPECT_EQ(v.failing, 3u);
-  EXPECT_EQ(kept(v, kFour), (std::vector<std::string>{"a", "d"}));
+  EXPECT_EQ(exempt_endpoints(v, kFour), (std::vector<std::string>{"a", "d"}));
   // One that may rest already goes before one that is hardly worse, and not before one that is much worse.
   EXPECT_EQ(weigh(kHalf, kFour, {r, r}, {"a"}).out, (std::vector<std::string>{"b", "c"}));
   const Report close{"r1", 1, {ill("a", 0.65), ill("b", 0.9), ill("c", 0.7)}};
@@ -49,11 +49,11 @@
 TEST(Weigh, CountsWhatDrainsAndWhatIsColdWithoutTakingItBack) {
   std::vector<Listed> listed = kFour;
   listed[3].ready = false;  // in maintenance
-  const Report r{"r1", 1, {ill("a", 0.9), ill("b", 0, State::cold)}};
+  const Report r{"r1", 1, {ill("a", 0.9), ill("b", 0, DegradationKind::slow_start)}};
   const Verdict v = weigh(kHalf, listed, {r, r}, {});
   EXPECT_TRUE(v.out.empty());
   EXPECT_EQ(v.closed, std::vector<std::uint32_t>{1});
-  EXPECT_EQ(kept(v, listed), (std::vector<std::string>{"a", "b", "c", "d"}));
+  EXPECT_EQ(exempt_endpoints(v, listed), (std::vector<std::string>{"a", "b", "c", "d"}));
   EXPECT_EQ(std::tuple(v.failing, v.reduced, v.drained, v.listed), std::tuple(1u, 1u, 1u, 4u));
 }
 
@@ -70,7 +70,7 @@
   // The only endpoint of a destination may rest.
   const Verdict v = weigh(kHalf, {{"a", 1}}, {one, one}, {});
   EXPECT_EQ(v.out, std::vector<std::string>{"a"});
-  EXPECT_TRUE(kept(v, {{"a", 1}}).empty());
+  EXPECT_TRUE(exempt_endpoints(v, {{"a", 1}}).empty());
 }
 
 RC_GTEST_PROP(WeighProperty, NeverLetsMoreRestThanTheCaps, ()) {
@@ -86,7 +86,8 @@
   for (Report& r : reports) {
     for (const Listed& host : listed)
       if (const int state = *rc::gen::inRange(0, 5); state < 3)
-        r.ailing.push_back(ill(host.host, *rc::gen::inRange(0, 100) / 100.0, static_cast<State>(state)));
+        r.degraded_endpoints.push_back(
+            ill(host.host, *rc::gen::inRange(0, 100) / 100.0, static_cast<DegradationKind>(state)));
   }
   const Verdict v = weigh(cap, listed, reports, {});
   std::map<std::uint32_t, std::size_t> size, out;
@@ -102,9 +103,9 @@
   // Where nothing is closed, all that fail may rest, and nothing is kept.
   if (!v.binds()) {
     RC_ASSERT(v.out.size() == v.failing);
-    RC_ASSERT(kept(v, listed).empty());
+    RC_ASSERT(exempt_endpoints(v, listed).empty());
   }
-  for (const std::string& host : kept(v, listed))
+  for (const std::string& host : exempt_endpoints(v, listed))
     RC_ASSERT(std::count(v.out.begin(), v.out.end(), host) == 0);
 }
 
@@ -112,20 +113,20 @@
   Verdict v{7, 3, true, {1, 4}, {"a", "b"}, 3, 1, 2, 9, 12};
   const auto read = read_verdict(verdict_json(v));
   ASSERT_TRUE(read && read->agrees_with(v));
-  EXPECT_EQ(std::tuple(read->token, read->beat, read->failing, read->reduced, read->drained, read->listed,
-                       read->relays),
+  EXPECT_EQ(std::tuple(read->token, read->heartbeat, read->failing, read->reduced, read->drained,
+                       read->listed, read->relays),
             std::tuple(7u, 3u, 3u, 1u, 2u, 9u, 12u));
   for (const char* bad :
        {"", "[]", "{}", R"({"token":-1,"closed":[],"out":[]})", R"({"token":1,"closed":["x"],"out":[]})"})
     EXPECT_FALSE(read_verdict(bad)) << bad;
-  std::vector<Read> reports;
+  std::vector<StoredReport> reports;
   EXPECT_FALSE(read_reports("{}", reports));
   // A value that is no report is left out; the second is {"relay":"r1","beat":2,"ailing":[]}.
   EXPECT_TRUE(read_reports(
       R"([{"Value":"e30=","ModifyIndex":3},{"Value":"eyJyZWxheSI6InIxIiwiYmVhdCI6MiwiYWlsaW5nIjpbXX0=","ModifyIndex":5}])",
       reports));
   ASSERT_EQ(reports.size(), 1u);
-  EXPECT_EQ(std::tuple(reports[0].report.relay, reports[0].report.beat, reports[0].index),
+  EXPECT_EQ(std::tuple(reports[0].report.relay, reports[0].report.heartbeat, reports[0].index),
             std::tuple("r1", 2u, 5u));
 }
 
@@ -134,13 +135,13 @@
   static ReporterSettings settings() {
     ReporterSettings s;
     s.relay = "r1";
-    s.most = 2;
+    s.max_endpoints = 2;
     return s;
   }
   Verdict verdict(Token token, std::uint64_t beat, std::vector<std::uint32_t> closed = {1}) {
     Verdict v;
     v.token = token;
-    v.beat = beat;
+    v.heartbeat = beat;
     v.closed = std::move(closed);
     return v;
   }
@@ -152,31 +153,34 @@
 };
 
 TEST_F(ReporterTest, WritesWhatChangesAndNowAndThen) {
-  const auto writes = [&](Time now, std::vector<Ailing> ailing) {
-    const auto effects = reporter.handle(now, LookDue{{{}, std::move(ailing)}});
-    EXPECT_EQ(find<SetLookTimer>(effects)->at, now + seconds(2));
+  const auto writes = [&](Time now, std::vector<DegradedEndpoint> ailing) {
+    const auto effects = reporter.handle(now, CheckTimerExpired{{{}, std::move(ailing)}});
+    EXPECT_EQ(find<SetCheckTimer>(effects)->at, now + seconds(2));
     return find<WriteReport>(effects) != nullptr;
   };
   EXPECT_TRUE(writes(seconds(0), {}));
   EXPECT_FALSE(writes(seconds(2), {}));
   EXPECT_TRUE(writes(seconds(4), {ill("a", 0.5)}));
   EXPECT_FALSE(writes(seconds(6), {ill("a", 0.6)}));
-  EXPECT_TRUE(writes(seconds(8), {ill("a", 0.6, State::cold)}));
-  EXPECT_FALSE(writes(seconds(12), {ill("a", 0.6, State::cold)}));
-  EXPECT_TRUE(writes(seconds(13), {ill("a", 0.6, State::cold)}));  // so that it counts as alive
-  const auto effects =
-      reporter.handle(seconds(14), LookDue{{{}, {ill("a", 0.1, State::cold), ill("b", 0.2), ill("c", 0.9)}}});
-  EXPECT_EQ(find<WriteReport>(effects)->report.ailing.size(), 2u);
-  for (const Ailing& a : find<WriteReport>(effects)->report.ailing) EXPECT_NE(a.host, "a");
+  EXPECT_TRUE(writes(seconds(8), {ill("a", 0.6, DegradationKind::slow_start)}));
+  EXPECT_FALSE(writes(seconds(12), {ill("a", 0.6, DegradationKind::slow_start)}));
+  EXPECT_TRUE(
+      writes(seconds(13), {ill("a", 0.6, DegradationKind::slow_start)}));  // so that it counts as alive
+  const auto effects = reporter.handle(
+      seconds(14),
+      CheckTimerExpired{{{}, {ill("a", 0.1, DegradationKind::slow_start), ill("b", 0.2), ill("c", 0.9)}}});
+  EXPECT_EQ(find<WriteReport>(effects)->report.degraded_endpoints.size(), 2u);
+  for (const DegradedEndpoint& a : find<WriteReport>(effects)->report.degraded_endpoints)
+    EXPECT_NE(a.host, "a");
 }
 
 TEST_F(ReporterTest, HeedsAVerdictOnlyWhileItIsRenewed) {
   EXPECT_FALSE(caps(seconds(0), verdict(5, 1)));  // may have lain there for days
   EXPECT_FALSE(caps(seconds(1), verdict(5, 1)));
   EXPECT_TRUE(caps(seconds(2), verdict(5, 2)));
-  reporter.handle(seconds(16), LookDue{});
+  reporter.handle(seconds(16), CheckTimerExpired{});
   EXPECT_TRUE(reporter.cap());
-  const auto effects = reporter.handle(seconds(17), LookDue{});
+  const auto effects = reporter.handle(seconds(17), CheckTimerExpired{});
   EXPECT_FALSE(reporter.cap());
   EXPECT_FALSE(find<CapEndpoints>(effects)->verdict);
   EXPECT_TRUE(caps(seconds(18), verdict(5, 3)));
@@ -203,7 +207,7 @@
     s.cap = kHalf;
     return s;
   }
-  std::optional<WriteVerdict> reads(Time now, std::vector<Read> reports) {
+  std::optional<WriteVerdict> reads(Time now, std::vector<StoredReport> reports) {
     const auto effects = arbiter.handle(now, ReportsRead{true, std::move(reports), kFour});
     const auto* write = find<WriteVerdict>(effects);
     if (!write) return std::nullopt;
@@ -211,15 +215,15 @@
     arbiter.handle(now, VerdictWritten{how});
     return copy;
   }
-  static Read sick(const std::string& relay, std::uint64_t beat) {
+  static StoredReport sick(const std::string& relay, std::uint64_t beat) {
     return {{relay, beat, {ill("a", 0.9), ill("b", 0.8), ill("c", 0.7)}}, beat};
   }
   Arbiter arbiter{settings()};
-  lease::Written how = lease::Written::taken;
+  lease::WriteResult how = lease::WriteResult::accepted;
 };
 
 TEST_F(ArbiterTest, WritesItsFirstVerdictWhatChangesAndRenewsWhatBinds) {
-  arbiter.acts(seconds(0), 3, "s");
+  arbiter.activate(seconds(0), 3, "s");
   const auto first = reads(seconds(0), {});
   ASSERT_TRUE(first);  // what another has left is not in force any more
   EXPECT_FALSE(first->verdict.binds());
@@ -227,14 +231,14 @@
   const auto second = reads(seconds(4), {sick("r1", 1), sick("r2", 1)});
   ASSERT_TRUE(second);
   EXPECT_EQ(second->verdict.out, (std::vector<std::string>{"a", "b"}));
-  EXPECT_GT(second->verdict.beat, first->verdict.beat);
+  EXPECT_GT(second->verdict.heartbeat, first->verdict.heartbeat);
   EXPECT_EQ(std::pair(second->verdict.token, second->session), std::pair(Token(3), std::string("s")));
   EXPECT_FALSE(reads(seconds(6), {sick("r1", 2), sick("r2", 2)}));
   EXPECT_TRUE(reads(seconds(9), {sick("r1", 3), sick("r2", 3)}));  // renewed
 }
 
 TEST_F(ArbiterTest, ReportsThatAreNotRenewedDoNotCountAndGoInTheEnd) {
-  arbiter.acts(seconds(0), 3, "s");
+  arbiter.activate(seconds(0), 3, "s");
   EXPECT_TRUE(reads(seconds(0), {sick("r1", 1), sick("r2", 1)})->verdict.binds());
   const auto later = reads(seconds(15), {sick("r1", 2), sick("r2", 1)});
   ASSERT_TRUE(later);
@@ -246,13 +250,13 @@
 }
 
 TEST_F(ArbiterTest, AVerdictThatWasNotTakenIsWrittenAgainAndNoneOnceTheRoleIsLost) {
-  arbiter.acts(seconds(0), 3, "s");
-  how = lease::Written::refused;
+  arbiter.activate(seconds(0), 3, "s");
+  how = lease::WriteResult::refused;
   EXPECT_TRUE(reads(seconds(0), {}));
   EXPECT_TRUE(reads(seconds(2), {}));
-  arbiter.stops();
+  arbiter.deactivate();
   EXPECT_FALSE(reads(seconds(4), {sick("r1", 1), sick("r2", 1)}));
-  EXPECT_TRUE(arbiter.handle(seconds(4), ReadDue{}).empty());
+  EXPECT_TRUE(arbiter.handle(seconds(4), ReadTimerExpired{}).empty());
 }
 
 }  // namespace
@@ -374,11 +378,11 @@
   settings.max_attempts = 50;
   settings.resolution = std::chrono::milliseconds(5);
   settings.connect_timeout = seconds(1);
-  settings.connection_idle = seconds(10);
-  settings.cold_time = seconds(10);
-  settings.cold_from = 0.2;
+  settings.connection_idle_timeout = seconds(10);
+  settings.slow_start_time = seconds(10);
+  settings.slow_start_min_share = 0.2;
   settings.overload_factor = 2;
-  settings.overload_time = seconds(3);
+  settings.overload_window = seconds(3);
   const Limits limits = make_limits({}, 8, 100, seconds(1), seconds(10), false);
   const auto calls_in_a_second = [&](bool kept) {
     Counters counters;
@@ -391,15 +395,15 @@
     give(Started{});
     fleet::Plan plan;
     plan.reporter.emplace().relay = "r1";
-    give(FleetPlanned{plan});
+    give(FleetPlanReceived{plan});
     const auto hear = [&](ejection::ReporterInput heard) {
-      give(FleetHeard{fleet::ReporterHeard{std::move(heard)}});
+      give(FleetInput{fleet::ReporterInput{std::move(heard)}});
     };
     ejection::Verdict verdict;
     verdict.token = 1;
     if (kept) verdict.closed = {7};
     hear(ejection::VerdictSeen{verdict, false});
-    verdict.beat = 1;
+    verdict.heartbeat = 1;
     hear(ejection::VerdictSeen{verdict, false});
     HostEntry host;
     host.id = "h";
@@ -407,8 +411,8 @@
     host.rate = 50;
     give(ClusterChanged{HostList{1, true, {host}}, false});
     for (int i = 0; i < 40; ++i)
-      give(Offered{0, "m" + std::to_string(i), 0, 0, 7, seconds(20), std::make_shared<const std::string>("x"),
-                   true});
+      give(MessageSubmitted{0, "m" + std::to_string(i), 0, 0, 7, seconds(20),
+                            std::make_shared<const std::string>("x"), true});
     // Every call fails at once. The time goes on with the module's timer.
     std::size_t calls = 0;
     const Time end = now + seconds(1);
@@ -424,15 +428,15 @@
         give(failed);
       }
       now = std::max(now + std::chrono::milliseconds(1), std::min(reducer.next_timer(), end));
-      give(TimerDue{});
+      give(TimerExpired{});
     }
-    hear(ejection::LookDue{});
+    hear(ejection::CheckTimerExpired{});
     std::size_t reported = 0;
     for (const Effect& e : done) {
-      const auto* fleet = std::get_if<FleetDo>(&e);
-      const auto* report = fleet ? std::get_if<fleet::ReporterDo>(&fleet->effect) : nullptr;
+      const auto* fleet = std::get_if<FleetEffect>(&e);
+      const auto* report = fleet ? std::get_if<fleet::ReporterEffect>(&fleet->effect) : nullptr;
       const auto* write = report ? std::get_if<ejection::WriteReport>(&report->effect) : nullptr;
-      if (write) reported = write->report.ailing.size();
+      if (write) reported = write->report.degraded_endpoints.size();
     }
     EXPECT_EQ(reported, 1u);
     return calls;
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -28,7 +28,7 @@
   void switch_on() const { std::ofstream(switch_) << "on"; }
   void switch_off() const { fs::remove(switch_); }
 
-  Program program;
+  RelayProgram program;
 
  private:
   const std::string switch_;
@@ -39,7 +39,7 @@
 // What a client keeps open while the relay's calls fail.
 class Client {
  public:
-  explicit Client(const Program& relay) : socket_(relay.connected(io_)) {}
+  explicit Client(const RelayProgram& relay) : socket_(relay.connected(io_)) {}
   // The status of the answer; 0 if none comes within the limit.
   unsigned ask(const std::string& text, milliseconds limit = seconds(10)) {
     asio::error_code error;
@@ -76,7 +76,7 @@
   Server host;
   Platform platform;
   FaultyRelay relay;
-  Program& program = relay.program;
+  RelayProgram& program = relay.program;
 };
 
 // The rules as a test's name.
--- a/tests/fleet_settings.hpp
+++ b/tests/fleet_settings.hpp
@@ -25,12 +25,12 @@
   s.max_held = 1000;
   s.max_attempts = 12;
   s.connect_timeout = seconds(1);
-  s.connection_idle = seconds(15);
+  s.connection_idle_timeout = seconds(15);
   s.resolution = std::chrono::milliseconds(1);
-  s.cold_time = seconds(10);
-  s.cold_from = 0.16;
+  s.slow_start_time = seconds(10);
+  s.slow_start_min_share = 0.16;
   s.overload_factor = 2;
-  s.overload_time = seconds(2);
+  s.overload_window = seconds(2);
   return s;
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -17,8 +17,8 @@
                                          State{std::string("\0\xff bytes", 8)},
                                          StateEnd{8, ~0ull, 1ull << 40},
                                          Ready{},
-                                         Go{6},
-                                         Taken{}};
+                                         TakeOver{6},
+                                         TakeoverConfirmed{}};
 
 std::string joined(const std::vector<Message>& messages) {
   std::string text;
@@ -34,7 +34,7 @@
   std::mt19937 random(static_cast<unsigned>(body.size()));
   FrameReader reader;
   std::vector<Message> got;
-  for (const std::string_view piece : test::cut(text, random)) {
+  for (const std::string_view piece : test::split_at_random(text, random)) {
     reader.feed(piece);
     while (auto message = reader.next()) got.push_back(std::move(*message));
   }
@@ -65,27 +65,28 @@
 }
 
 template <class Wanted, class Effects>
-bool has(const Effects& effects) {
+bool has_effect(const Effects& effects) {
   return std::any_of(effects.begin(), effects.end(),
                      [](const auto& e) { return std::holds_alternative<Wanted>(e); });
 }
 
 TEST(OldSide, ServesOnWhereAnythingFailsBeforeTheFence) {
   const Versions versions;
-  const std::vector<OldInput> way = {UpgradeAsked{}, Started{}, Received{Accept{}}, StateSent{},
-                                     Received{Ready{}}};
-  const std::vector<OldInput> troubles = {PeerDead{}, TimeDue{}, Spoilt{"noise"}, Received{Refuse{"no"}},
-                                          Received{Taken{}}};
+  const std::vector<OldInput> way = {UpgradeRequested{}, PeerStarted{}, MessageReceived{Accept{}},
+                                     StateSent{}, MessageReceived{Ready{}}};
+  const std::vector<OldInput> troubles = {PeerExited{}, TimerExpired{}, ChannelFailed{"noise"},
+                                          MessageReceived{Refuse{"no"}},
+                                          MessageReceived{TakeoverConfirmed{}}};
   for (std::size_t steps = 1; steps < way.size(); ++steps) {
     for (const OldInput& trouble : troubles) {
       OldSide side(versions, 7, Limits{});
       for (std::size_t i = 0; i < steps; ++i) side.handle(Time(0), way[i]);
       auto effects = side.handle(Time(0), trouble);
-      if (has<KillPeer>(effects)) {
-        EXPECT_FALSE(has<Thaw>(effects));  // not beside one that may still act
-        effects = side.handle(Time(0), PeerDead{});
+      if (has_effect<KillPeer>(effects)) {
+        EXPECT_FALSE(has_effect<Thaw>(effects));  // not beside one that may still act
+        effects = side.handle(Time(0), PeerExited{});
       }
-      EXPECT_EQ(has<Thaw>(effects), steps >= 3) << steps;
+      EXPECT_EQ(has_effect<Thaw>(effects), steps >= 3) << steps;
       EXPECT_TRUE(side.serves());
       EXPECT_EQ(side.step(), OldSide::Step::idle);
       EXPECT_EQ(side.generation(), 7u);
@@ -96,43 +97,45 @@
 TEST(OldSide, AfterTheFenceOnlyTheDeathOfOneThatDidNothingLeadsBack) {
   for (const bool taken : {false, true}) {
     OldSide side(Versions{}, 7, Limits{});
-    for (const OldInput& i : std::vector<OldInput>{UpgradeAsked{}, Started{}, Received{Accept{}}, StateSent{},
-                                                   Received{Ready{}}, Fenced{}}) {
+    for (const OldInput& i :
+         std::vector<OldInput>{UpgradeRequested{}, PeerStarted{}, MessageReceived{Accept{}}, StateSent{},
+                               MessageReceived{Ready{}}, FenceWritten{}}) {
       side.handle(Time(0), i);
     }
-    EXPECT_TRUE(has<KillPeer>(side.handle(Time(0), TimeDue{})));
-    EXPECT_TRUE(side.handle(Time(0), TimeDue{}).empty());
-    if (taken) side.handle(Time(0), Received{Taken{}});  // it had been on its way
-    const auto effects = side.handle(Time(0), PeerDead{});
-    EXPECT_EQ(has<StartAnew>(effects), taken);
-    EXPECT_EQ(has<WriteFence>(effects), !taken);
+    EXPECT_TRUE(has_effect<KillPeer>(side.handle(Time(0), TimerExpired{})));
+    EXPECT_TRUE(side.handle(Time(0), TimerExpired{}).empty());
+    if (taken) side.handle(Time(0), MessageReceived{TakeoverConfirmed{}});  // it had been on its way
+    const auto effects = side.handle(Time(0), PeerExited{});
+    EXPECT_EQ(has_effect<RestartFromJournal>(effects), taken);
+    EXPECT_EQ(has_effect<WriteFence>(effects), !taken);
     if (taken) continue;
     EXPECT_FALSE(side.serves());
-    EXPECT_TRUE(has<Thaw>(side.handle(Time(0), Fenced{})));
+    EXPECT_TRUE(has_effect<Thaw>(side.handle(Time(0), FenceWritten{})));
     EXPECT_EQ(side.generation(), 9u);
   }
 }
 
 TEST(OldSide, TakesASecondUpgradeForNone) {
   OldSide side(Versions{}, 1, Limits{});
-  EXPECT_TRUE(has<StartPeer>(side.handle(Time(0), UpgradeAsked{})));
-  EXPECT_FALSE(has<StartPeer>(side.handle(Time(0), UpgradeAsked{})));
+  EXPECT_TRUE(has_effect<StartPeer>(side.handle(Time(0), UpgradeRequested{})));
+  EXPECT_FALSE(has_effect<StartPeer>(side.handle(Time(0), UpgradeRequested{})));
   EXPECT_EQ(side.step(), OldSide::Step::starting);
 }
 
 TEST(NewSide, RefusesWhatItDoesNotKnowAndTouchesNothing) {
   for (const Offer& offer : {Offer{{2, 1}, 1}, Offer{{1, 2}, 1}, Offer{{0, 1}, 1}}) {
     NewSide side(Versions{1, 1}, Limits{});
-    const auto effects = side.handle(Time(0), Received{offer});
-    EXPECT_TRUE(has<Exit>(effects));
-    ASSERT_TRUE(has<Send>(effects));
+    const auto effects = side.handle(Time(0), MessageReceived{offer});
+    EXPECT_TRUE(has_effect<Exit>(effects));
+    ASSERT_TRUE(has_effect<Send>(effects));
     EXPECT_TRUE(std::holds_alternative<Refuse>(std::get<Send>(effects.front()).message));
   }
   NewSide side(Versions{}, Limits{});
-  side.handle(Time(0), Received{Offer{{}, 1}});
-  side.handle(Time(0), Checked{});
-  side.handle(Time(0), Received{State{"abc"}});
-  EXPECT_TRUE(has<Exit>(side.handle(Time(0), Received{StateEnd{4, 0, 0}})));  // a part is missing
+  side.handle(Time(0), MessageReceived{Offer{{}, 1}});
+  side.handle(Time(0), PreparationFinished{});
+  side.handle(Time(0), MessageReceived{State{"abc"}});
+  EXPECT_TRUE(
+      has_effect<Exit>(side.handle(Time(0), MessageReceived{StateEnd{4, 0, 0}})));  // a part is missing
 }
 
 // Every interleaving within these bounds; tools/check_handover explores wider ones.
--- a/tests/journal_property_test.cpp
+++ b/tests/journal_property_test.cpp
@@ -41,8 +41,8 @@
 // What a life knows of a message, as text that can be compared.
 using Held = std::map<StreamId, std::string>;
 std::string text_of(const JournalEntry& e) {
-  return e.id + " " + std::to_string(e.attempts) + (e.out ? " out" : "") + (e.may_have_run ? " doubt" : "") +
-         (e.verdict ? " given up " : " ") + *e.body;
+  return e.id + " " + std::to_string(e.attempts) + (e.in_flight ? " out" : "") +
+         (e.may_have_run ? " doubt" : "") + (e.verdict ? " given up " : " ") + *e.body;
 }
 Held held_of(const Journal& journal) {
   Held held;
@@ -109,22 +109,22 @@
     JournalEntry& e = it->second;
     switch (*rc::gen::inRange(0, 4)) {
       case 0:
-        if (e.out || !journal_.attempt_started(stream, Time(5), 1)) return;
+        if (e.in_flight || !journal_.attempt_started(stream, Time(5), 1)) return;
         ++e.attempts;
-        e.out = true;
+        e.in_flight = true;
         break;
       case 1:
-        if (!e.out) return;
+        if (!e.in_flight) return;
         journal_.attempt_ended(stream, true);
-        e.out = false;
+        e.in_flight = false;
         e.may_have_run = true;
         break;
       case 2:
-        journal_.given_up(stream, Verdict::undeliverable, Time(0));
+        journal_.message_given_up(stream, Verdict::undeliverable, Time(0));
         e.verdict = Verdict::undeliverable;
         break;
       default:
-        journal_.ended(stream);
+        journal_.message_ended(stream);
         model_.erase(stream);
         entries_.erase(it);
         return;
@@ -136,7 +136,7 @@
     const StreamId stream = next_++;
     e.id = "m" + std::to_string(stream);
     e.body = std::make_shared<const std::string>(*rc::gen::inRange<std::size_t>(0, 80), 'x');
-    if (!journal_.has_room(e.id.size(), e.body->size()) || !journal_.taken(stream, e)) return;
+    if (!journal_.has_room(e.id.size(), e.body->size()) || !journal_.message_accepted(stream, e)) return;
     entries_[stream] = e;
     model_[stream] = text_of(e);
   }
@@ -170,7 +170,7 @@
         JournalEntry e;
         e.id = "m" + std::to_string(stream);
         e.body = std::make_shared<const std::string>(20, 'x');
-        RC_ASSERT(journal.taken(stream, e));
+        RC_ASSERT(journal.message_accepted(stream, e));
         moments.push_back(held_of(journal));
         RC_ASSERT(journal.attempt_started(stream, Time(5), 1));
         moments.push_back(held_of(journal));
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -47,7 +47,7 @@
 TEST(Journal, TellsTheNextLifeHowFarEachMessageCame) {
   const Folder folder;
   const auto reopened = [&] { return Journal(folder.path(), kBig); };
-  Journal(folder.path(), kBig).taken(1, entry("a"));
+  Journal(folder.path(), kBig).message_accepted(1, entry("a"));
   {
     Journal j = reopened();
     const JournalEntry& e = j.held().at(1);
@@ -58,20 +58,20 @@
     EXPECT_EQ(e.deadline, WallTime(123456789));
     EXPECT_EQ(*e.body, "body");
     EXPECT_EQ(e.attempts, 0u);
-    EXPECT_FALSE(e.out || e.may_have_run || e.verdict);
+    EXPECT_FALSE(e.in_flight || e.may_have_run || e.verdict);
     EXPECT_EQ(j.next_stream(), 2u);
     j.attempt_started(1, WallTime(500), 3);
   }
   {
     Journal j = reopened();  // out at the crash
-    EXPECT_TRUE(j.held().at(1).out);
+    EXPECT_TRUE(j.held().at(1).in_flight);
     EXPECT_EQ(j.held().at(1).attempts, 1u);
-    EXPECT_EQ(j.held().at(1).out_since, WallTime(500));
+    EXPECT_EQ(j.held().at(1).attempt_started, WallTime(500));
     j.attempt_ended(1, false);
   }
   {
     Journal j = reopened();  // proven not run
-    EXPECT_FALSE(j.held().at(1).out || j.held().at(1).may_have_run);
+    EXPECT_FALSE(j.held().at(1).in_flight || j.held().at(1).may_have_run);
     j.attempt_started(1, WallTime(600), 4);
     j.attempt_ended(1, true);
     j.attempt_started(1, WallTime(700), 5);
@@ -80,16 +80,16 @@
   {
     Journal j = reopened();  // the first that may have run stands
     EXPECT_TRUE(j.held().at(1).may_have_run);
-    EXPECT_EQ(j.held().at(1).doubt_since, WallTime(600));
-    EXPECT_EQ(j.held().at(1).doubt_zone, 4u);
+    EXPECT_EQ(j.held().at(1).uncertain_since, WallTime(600));
+    EXPECT_EQ(j.held().at(1).uncertain_zone, 4u);
     EXPECT_EQ(j.held().at(1).attempts, 3u);
-    j.given_up(1, Verdict::deferred, Time(1500));
+    j.message_given_up(1, Verdict::deferred, Time(1500));
   }
   {
     Journal j = reopened();
     EXPECT_EQ(j.held().at(1).verdict, Verdict::deferred);
-    EXPECT_EQ(j.held().at(1).again, Time(1500));
-    j.ended(1);
+    EXPECT_EQ(j.held().at(1).retry_after, Time(1500));
+    j.message_ended(1);
   }
   EXPECT_TRUE(reopened().held().empty());
 }
@@ -99,8 +99,8 @@
   const Folder folder;
   {
     Journal j(folder.path(), kBig);
-    j.taken(1, entry("a"));
-    j.taken(2, entry("b"));
+    j.message_accepted(1, entry("a"));
+    j.message_accepted(2, entry("b"));
   }
   const std::string whole = folder.text();
   for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -108,7 +108,7 @@
     {
       Journal j(folder.path(), kBig);
       ASSERT_LE(j.held().size(), 1u) << size;
-      j.taken(9, entry("c"));
+      j.message_accepted(9, entry("c"));
     }
     ASSERT_EQ(Journal(folder.path(), kBig).held().count(9), 1u) << size;
   }
@@ -127,14 +127,14 @@
   constexpr std::uint64_t bound = 20000;
   {
     Journal j(folder.path(), bound);
-    j.taken(1, entry("kept", std::string(3000, 'x')));
+    j.message_accepted(1, entry("kept", std::string(3000, 'x')));
     j.attempt_started(1, WallTime(5), 0);
     j.attempt_ended(1, true);
     for (StreamId i = 2; i < 500; ++i) {
       ASSERT_TRUE(j.has_room(4, 200));
-      j.taken(i, entry("pass", std::string(200, 'y')));
+      j.message_accepted(i, entry("pass", std::string(200, 'y')));
       j.attempt_started(i, WallTime(5), 0);
-      j.ended(i);
+      j.message_ended(i);
       ASSERT_LE(fs::file_size(folder.file()), bound);
       ASSERT_EQ(fs::file_size(folder.file()), j.size());
       ASSERT_FALSE(fs::exists(folder.path() + "/journal.new"));
@@ -144,7 +144,7 @@
   folder.write(folder.text() + "torn");
   std::ofstream(folder.path() + "/journal.new") << "half a compaction";
   const Journal j(folder.path(), bound);
-  EXPECT_EQ(j.cut_bytes(), 4u);
+  EXPECT_EQ(j.truncated_bytes(), 4u);
   EXPECT_FALSE(fs::exists(folder.path() + "/journal.new"));
   ASSERT_EQ(j.held().size(), 1u);
   EXPECT_EQ(j.held().at(1).body->size(), 3000u);
@@ -157,7 +157,7 @@
   const Folder folder;
   Journal j(folder.path(), 20000);
   StreamId n = 1;
-  for (; j.has_room(2, 1000); ++n) j.taken(n, entry("id", std::string(1000, 'x')));
+  for (; j.has_room(2, 1000); ++n) j.message_accepted(n, entry("id", std::string(1000, 'x')));
   EXPECT_GT(n, 8u);
   EXPECT_FALSE(j.has_room(2, 64 * 1024));
   for (int attempt = 0; attempt < 12; ++attempt) {
@@ -166,8 +166,8 @@
       j.attempt_ended(i, false);
     }
   }
-  for (StreamId i = 1; i < n; ++i) j.given_up(i, Verdict::undeliverable, Time(0));
-  for (StreamId i = 1; i < n; ++i) j.ended(i);
+  for (StreamId i = 1; i < n; ++i) j.message_given_up(i, Verdict::undeliverable, Time(0));
+  for (StreamId i = 1; i < n; ++i) j.message_ended(i);
   EXPECT_TRUE(j.has_room(2, 1000));
 }
 
@@ -199,14 +199,14 @@
     Journal j(folder.path(), kBig);
     JournalEntry e = entry("a");
     e.deadline = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch()) + left;
-    ASSERT_TRUE(j.taken(1, e));
+    ASSERT_TRUE(j.message_accepted(1, e));
   }
   std::string text = folder.text();
-  const std::size_t clock = 8 + journal::clock_payload(journal::read_clock_now()).size();
+  const std::size_t clock = 8 + journal::clock_payload(journal::read_current_clock()).size();
   const std::string magic = "fennellane journal 1\n";
   folder.write(magic + text.substr(magic.size() + clock));
   const Journal j(folder.path(), kBig);
-  const Time deadline = j.held().at(1).deadline - journal::read_clock_now().steady;
+  const Time deadline = j.held().at(1).deadline - journal::read_current_clock().steady;
   EXPECT_LE(deadline, left);
   EXPECT_GT(deadline, left - seconds(15));
   EXPECT_EQ(Journal(folder.path(), kBig).held().at(1).deadline, j.held().at(1).deadline);
@@ -222,16 +222,16 @@
 
 TEST_F(Owners, AFenceEndsOneAndBeginsTheNext) {
   Journal old(folder, kRoomy);
-  old.taken(1, entry("a"));
-  Journal next(folder, kRoomy, Journal::Access::observes);
-  EXPECT_THROW(next.taken(2, entry("b")), JournalError);  // an observer writes nothing
-  EXPECT_THROW(next.claim(3), JournalError);              // nor becomes just any owner
+  old.message_accepted(1, entry("a"));
+  Journal next(folder, kRoomy, Journal::Access::observer);
+  EXPECT_THROW(next.message_accepted(2, entry("b")), JournalError);  // an observer writes nothing
+  EXPECT_THROW(next.claim(3), JournalError);                         // nor becomes just any owner
   old.fence(2);
   EXPECT_FALSE(old.owned());
-  EXPECT_THROW(old.taken(2, entry("b")), JournalError);
+  EXPECT_THROW(old.message_accepted(2, entry("b")), JournalError);
   next.claim(2);
-  next.taken(2, entry("b"));
-  EXPECT_THROW(old.ended(1), JournalError);
+  next.message_accepted(2, entry("b"));
+  EXPECT_THROW(old.message_ended(1), JournalError);
   EXPECT_THROW(old.claim(3), JournalError);  // the next one has gone on: what this one knows is old
   const Journal read(folder, kRoomy);
   EXPECT_EQ(read.generation(), 2u);
@@ -240,47 +240,47 @@
 
 TEST_F(Owners, ARecordThatTheDiskTakesHalfOfIsNone) {
   Journal journal(folder, kRoomy);
-  journal.taken(1, entry("a"));
+  journal.message_accepted(1, entry("a"));
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit usual{};
   ASSERT_EQ(getrlimit(RLIMIT_FSIZE, &usual), 0);
   const rlimit full{static_cast<rlim_t>(journal.size() + 7), usual.rlim_max};
   ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &full), 0);
   EXPECT_THROW(journal.fence(2), JournalError);
-  EXPECT_FALSE(journal.taken(2, entry("b")));
+  EXPECT_FALSE(journal.message_accepted(2, entry("b")));
   ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &usual), 0);
   EXPECT_TRUE(journal.owned());
-  journal.taken(3, entry("c"));
+  journal.message_accepted(3, entry("c"));
   const Journal read(folder, kRoomy);
-  EXPECT_EQ(read.cut_bytes(), 0u);
+  EXPECT_EQ(read.truncated_bytes(), 0u);
   EXPECT_EQ(read.held().size(), 2u);
 }
 
 // What an observer has read, it reads on from, also behind a compaction.
 TEST_F(Owners, AnObserverCatchesUp) {
   Journal old(folder, 4000);
-  old.taken(1, entry("a"));
-  Journal next(folder, 4000, Journal::Access::observes);
+  old.message_accepted(1, entry("a"));
+  Journal next(folder, 4000, Journal::Access::observer);
   for (StreamId i = 2; old.compactions() < 2; ++i) {
-    old.taken(i, entry("b" + std::to_string(i)));
+    old.message_accepted(i, entry("b" + std::to_string(i)));
     if (i % 3 == 0) next.catch_up();
-    old.ended(i);
+    old.message_ended(i);
   }
   next.catch_up();
   EXPECT_EQ(next.size(), old.size());
   EXPECT_EQ(next.held().size(), 1u);
   old.fence(2);
   next.claim(2);
-  next.ended(1);
+  next.message_ended(1);
   EXPECT_EQ(Journal(folder, 4000).held().size(), 0u);
 }
 
 TEST_F(Owners, TheOldOneTakesItBackWhereTheNextDidNothing) {
   Journal old(folder, kRoomy);
-  old.taken(1, entry("a"));
+  old.message_accepted(1, entry("a"));
   old.fence(2);
   old.claim(3);
-  old.ended(1);
+  old.message_ended(1);
   const Journal read(folder, kRoomy);
   EXPECT_EQ(read.generation(), 3u);
   EXPECT_TRUE(read.held().empty());
@@ -289,12 +289,12 @@
 // The old one died frozen: the next one fences it off itself, if it has seen all there is.
 TEST_F(Owners, TheNextOneClaimsWhatADeadOneLeft) {
   Journal old(folder, kRoomy);
-  old.taken(1, entry("a"));
-  Journal next(folder, kRoomy, Journal::Access::observes);
-  Journal late(folder, kRoomy, Journal::Access::observes);
+  old.message_accepted(1, entry("a"));
+  Journal next(folder, kRoomy, Journal::Access::observer);
+  Journal late(folder, kRoomy, Journal::Access::observer);
   next.claim(2);
-  next.taken(2, entry("b"));
-  EXPECT_THROW(old.taken(2, entry("b")),
+  next.message_accepted(2, entry("b"));
+  EXPECT_THROW(old.message_accepted(2, entry("b")),
                JournalError);  // not dead after all, and fenced off: it can't append
   EXPECT_THROW(late.claim(2), JournalError);
 }
@@ -303,8 +303,8 @@
 // another's.
 TEST_F(Owners, ACompactionKeepsTheFence) {
   Journal old(folder, 4000);
-  for (StreamId s = 1; s <= 3; ++s) old.taken(s, entry("m" + std::to_string(s)));
-  Journal next(folder, 4000, Journal::Access::observes);
+  for (StreamId s = 1; s <= 3; ++s) old.message_accepted(s, entry("m" + std::to_string(s)));
+  Journal next(folder, 4000, Journal::Access::observer);
   old.fence(2);
   next.claim(2);
   for (int i = 0; i < 200; ++i) {
@@ -312,7 +312,7 @@
     next.attempt_ended(1, false);
   }
   EXPECT_GT(next.compactions(), 0u);
-  EXPECT_THROW(old.ended(1), JournalError);
+  EXPECT_THROW(old.message_ended(1), JournalError);
   EXPECT_EQ(Journal(folder, 4000).generation(), 2u);
 }
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -34,41 +34,41 @@
 // Wanted, a session made at 0 and the lock granted: the state from which the tests below go on.
 Lease holding(const Timing& timing) {
   Lease lease(timing);
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(0), Want{})), nullptr);  // the key first
-  EXPECT_NE(find<CreateSession>(lease.handle(seconds(0), KeySeen{"", 0, 1})), nullptr);
-  EXPECT_NE(find<Acquire>(lease.handle(seconds(0), SessionMade{"s1", seconds(0)})), nullptr);
-  lease.handle(seconds(1), LockAnswer{true, seconds(0)});
-  EXPECT_EQ(lease.step(), Lease::Step::holding);
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(0), AcquireRole{})), nullptr);  // the key first
+  EXPECT_NE(find<CreateSession>(lease.handle(seconds(0), KeyRead{"", 0, 1})), nullptr);
+  EXPECT_NE(find<AcquireLock>(lease.handle(seconds(0), SessionCreated{"s1", seconds(0)})), nullptr);
+  lease.handle(seconds(1), AcquireAnswered{true, seconds(0)});
+  EXPECT_EQ(lease.state(), Lease::State::holding);
   return lease;
 }
 
 TEST(Lease, ActsOnlyOnceTheTokenIsKnown) {
   Lease lease = holding(short_timing());
   EXPECT_FALSE(lease.may_act(seconds(1)));
-  const auto effects = lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  ASSERT_NE(find<Act>(effects), nullptr);
-  EXPECT_EQ(find<Act>(effects)->token, 7u);
+  const auto effects = lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  ASSERT_NE(find<LeaseActive>(effects), nullptr);
+  EXPECT_EQ(find<LeaseActive>(effects)->token, 7u);
   EXPECT_TRUE(lease.may_act(seconds(1)));
   EXPECT_EQ(lease.token(), 7u);
 }
 
 TEST(Lease, StopsWhereNoRenewIsConfirmedBeforeTheMargin) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  EXPECT_NE(find<Renew>(lease.handle(seconds(2), TimeDue{})), nullptr);
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  EXPECT_NE(find<RenewSession>(lease.handle(seconds(2), TimerExpired{})), nullptr);
   lease.handle(seconds(3), CallFailed{});
   EXPECT_TRUE(lease.may_act(seconds(3)));
   // Acting ends at ttl - margin from the send of the session's create, 4 s.
   EXPECT_FALSE(lease.may_act(seconds(4)));
-  EXPECT_NE(find<Stop>(lease.handle(seconds(4), TimeDue{})), nullptr);
-  EXPECT_EQ(lease.step(), Lease::Step::lapsed);
+  EXPECT_NE(find<LeaseInactive>(lease.handle(seconds(4), TimerExpired{})), nullptr);
+  EXPECT_EQ(lease.state(), Lease::State::lapsed);
 }
 
 TEST(Lease, MeasuresFromTheSendOfTheRenewNotItsAnswer) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  lease.handle(seconds(2), TimeDue{});
-  lease.handle(seconds(3), RenewAnswer{true, seconds(2)});  // sent at 2, answered at 3
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  lease.handle(seconds(2), TimerExpired{});
+  lease.handle(seconds(3), RenewAnswered{true, seconds(2)});  // sent at 2, answered at 3
   EXPECT_TRUE(lease.may_act(seconds(5)));
   EXPECT_FALSE(lease.may_act(seconds(6)));  // 2 + 5 - 1
 }
@@ -76,28 +76,28 @@
 // Found by the model: the key was first heard after the lease had lapsed, and a renew then came back.
 TEST(Lease, TakesTheTokenFromTheKeyWhenARenewEndsALapse) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(2), TimeDue{});            // the renew is sent
-  lease.handle(seconds(4), KeySeen{"s1", 1, 2});  // at the end of acting: lapsed, not acting
-  EXPECT_EQ(lease.step(), Lease::Step::lapsed);
-  const auto effects = lease.handle(seconds(4), RenewAnswer{true, seconds(3)});
-  ASSERT_NE(find<Act>(effects), nullptr);
-  EXPECT_EQ(find<Act>(effects)->token, 1u);
+  lease.handle(seconds(2), TimerExpired{});       // the renew is sent
+  lease.handle(seconds(4), KeyRead{"s1", 1, 2});  // at the end of acting: lapsed, not acting
+  EXPECT_EQ(lease.state(), Lease::State::lapsed);
+  const auto effects = lease.handle(seconds(4), RenewAnswered{true, seconds(3)});
+  ASSERT_NE(find<LeaseActive>(effects), nullptr);
+  EXPECT_EQ(find<LeaseActive>(effects)->token, 1u);
   EXPECT_EQ(lease.token(), 1u);
 }
 
 TEST(Lease, StopsAtOnceWhereTheKeyNamesAnotherHolder) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  const auto effects = lease.handle(seconds(1), KeySeen{"s2", 8, 21});
-  EXPECT_NE(find<Stop>(effects), nullptr);
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  const auto effects = lease.handle(seconds(1), KeyRead{"s2", 8, 21});
+  EXPECT_NE(find<LeaseInactive>(effects), nullptr);
   EXPECT_FALSE(lease.may_act(seconds(1)));
   // A held key is waited for on the blocking read, without a session.
-  ASSERT_NE(find<Release>(effects), nullptr);
-  EXPECT_FALSE(find<Release>(effects)->holds);
-  lease.handle(seconds(2), Done{});
-  EXPECT_EQ(lease.step(), Lease::Step::waiting);
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(9), TimeDue{})), nullptr);
-  EXPECT_NE(find<CreateSession>(lease.handle(seconds(9), KeySeen{"", 8, 22})), nullptr);
+  ASSERT_NE(find<ReleaseSession>(effects), nullptr);
+  EXPECT_FALSE(find<ReleaseSession>(effects)->holds_lock);
+  lease.handle(seconds(2), SessionReleased{});
+  EXPECT_EQ(lease.state(), Lease::State::waiting);
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(9), TimerExpired{})), nullptr);
+  EXPECT_NE(find<CreateSession>(lease.handle(seconds(9), KeyRead{"", 8, 22})), nullptr);
 }
 
 // Three hundred relays that wait for one role must not all ask for it in one moment, nor keep sessions.
@@ -107,14 +107,14 @@
   std::vector<Time> tries;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Lease lease(timing, seed * 1000);
-    lease.handle(seconds(0), Want{});
-    const auto effects = lease.handle(seconds(0), KeySeen{"", 4, 9});
+    lease.handle(seconds(0), AcquireRole{});
+    const auto effects = lease.handle(seconds(0), KeyRead{"", 4, 9});
     EXPECT_EQ(find<CreateSession>(effects), nullptr);
     ASSERT_NE(find<SetTimer>(effects), nullptr);
     tries.push_back(find<SetTimer>(effects)->at);
-    lease.handle(seconds(0), KeySeen{"other", 5, 10});
-    EXPECT_EQ(find<CreateSession>(lease.handle(tries.back(), TimeDue{})), nullptr);
-    EXPECT_EQ(lease.step(), Lease::Step::waiting);
+    lease.handle(seconds(0), KeyRead{"other", 5, 10});
+    EXPECT_EQ(find<CreateSession>(lease.handle(tries.back(), TimerExpired{})), nullptr);
+    EXPECT_EQ(lease.state(), Lease::State::waiting);
   }
   std::sort(tries.begin(), tries.end());
   EXPECT_LT(tries.front(), seconds(1));
@@ -126,58 +126,58 @@
 // After a Consul that has lost its state, indexes begin anew below those that were seen.
 TEST(Lease, TakesAnAnswerOfACountThatHasBegunAnew) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  lease.handle(seconds(1), KeySeen{"", 0, 3});  // an old answer, for all that is known
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  lease.handle(seconds(1), KeyRead{"", 0, 3});  // an old answer, for all that is known
   EXPECT_TRUE(lease.may_act(seconds(1)));
-  EXPECT_NE(find<Stop>(lease.handle(seconds(1), KeySeen{"", 0, 3, true})), nullptr);
+  EXPECT_NE(find<LeaseInactive>(lease.handle(seconds(1), KeyRead{"", 0, 3, true})), nullptr);
   EXPECT_FALSE(lease.may_act(seconds(1)));
 }
 
 // Seen in the model's walks: an answer read before the acquire and heard after it named the key free.
 TEST(Lease, KeepsALockThatAnAnswerFromBeforeItsAcquireCallsFree) {
   Lease lease = holding(short_timing());  // the key was read free at index 1, then acquired
-  lease.handle(seconds(1), KeySeen{"", 0, 1});
-  EXPECT_EQ(lease.step(), Lease::Step::holding);
-  EXPECT_NE(find<Act>(lease.handle(seconds(1), KeySeen{"s1", 7, 2})), nullptr);
+  lease.handle(seconds(1), KeyRead{"", 0, 1});
+  EXPECT_EQ(lease.state(), Lease::State::holding);
+  EXPECT_NE(find<LeaseActive>(lease.handle(seconds(1), KeyRead{"s1", 7, 2})), nullptr);
 }
 
 TEST(Lease, DropsAnOlderAnswerOfTheBlockingRead) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  lease.handle(seconds(1), KeySeen{"s2", 6, 19});
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  lease.handle(seconds(1), KeyRead{"s2", 6, 19});
   EXPECT_TRUE(lease.may_act(seconds(1)));
 }
 
 TEST(Lease, TakesALockWhoseAnswerWasLostFromTheKey) {
   Lease lease(short_timing());
-  lease.handle(seconds(0), Want{});
-  lease.handle(seconds(0), KeySeen{"", 0, 1});
-  lease.handle(seconds(0), SessionMade{"s1", seconds(0)});
+  lease.handle(seconds(0), AcquireRole{});
+  lease.handle(seconds(0), KeyRead{"", 0, 1});
+  lease.handle(seconds(0), SessionCreated{"s1", seconds(0)});
   lease.handle(seconds(2), CallFailed{});  // the acquire's answer was lost; Consul took it
-  EXPECT_NE(find<Act>(lease.handle(seconds(2), KeySeen{"s1", 3, 9})), nullptr);
+  EXPECT_NE(find<LeaseActive>(lease.handle(seconds(2), KeyRead{"s1", 3, 9})), nullptr);
 }
 
 TEST(Lease, MakesANewSessionWhereTheOldOneIsGone) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  lease.handle(seconds(2), TimeDue{});
-  const auto effects = lease.handle(seconds(3), RenewAnswer{false, seconds(2)});
-  EXPECT_NE(find<Stop>(effects), nullptr);
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  lease.handle(seconds(2), TimerExpired{});
+  const auto effects = lease.handle(seconds(3), RenewAnswered{false, seconds(2)});
+  EXPECT_NE(find<LeaseInactive>(effects), nullptr);
   EXPECT_TRUE(lease.session().empty());
   // The key still names the old session: only once Consul has let go of it is a new one of use.
   EXPECT_EQ(find<CreateSession>(effects), nullptr);
-  EXPECT_NE(find<CreateSession>(lease.handle(seconds(3), KeySeen{"", 7, 21})), nullptr);
+  EXPECT_NE(find<CreateSession>(lease.handle(seconds(3), KeyRead{"", 7, 21})), nullptr);
 }
 
 TEST(Lease, GivesUpByReleaseAndDestroy) {
   Lease lease = holding(short_timing());
-  lease.handle(seconds(1), KeySeen{"s1", 7, 20});
-  const auto effects = lease.handle(seconds(1), Unwant{});
-  EXPECT_NE(find<Stop>(effects), nullptr);
-  ASSERT_NE(find<Release>(effects), nullptr);
-  EXPECT_TRUE(find<Release>(effects)->holds);
-  lease.handle(seconds(2), Done{});
-  EXPECT_EQ(lease.step(), Lease::Step::off);
+  lease.handle(seconds(1), KeyRead{"s1", 7, 20});
+  const auto effects = lease.handle(seconds(1), ResignRole{});
+  EXPECT_NE(find<LeaseInactive>(effects), nullptr);
+  ASSERT_NE(find<ReleaseSession>(effects), nullptr);
+  EXPECT_TRUE(find<ReleaseSession>(effects)->holds_lock);
+  lease.handle(seconds(2), SessionReleased{});
+  EXPECT_EQ(lease.state(), Lease::State::off);
 }
 
 // Found with several relays: one that gave the role up, as it was of no use there, had it back each time.
@@ -185,18 +185,18 @@
   Timing timing = short_timing();
   timing.spread = seconds(10);
   Lease lease(timing);
-  lease.handle(seconds(0), Want{});
-  lease.handle(seconds(0), KeySeen{"", 0, 1});
-  lease.handle(seconds(10), TimeDue{});
-  lease.handle(seconds(10), SessionMade{"s1", seconds(10)});
-  lease.handle(seconds(10), LockAnswer{true, seconds(10)});
-  ASSERT_NE(find<Act>(lease.handle(seconds(10), KeySeen{"s1", 7, 2})), nullptr);
-  EXPECT_NE(find<Release>(lease.handle(seconds(11), Unwant{})), nullptr);
-  lease.handle(seconds(11), Want{});
-  lease.handle(seconds(11), KeySeen{"", 7, 3});
-  lease.handle(seconds(11), Done{});
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(21), TimeDue{})), nullptr);
-  EXPECT_NE(find<CreateSession>(lease.handle(seconds(22), TimeDue{})), nullptr);
+  lease.handle(seconds(0), AcquireRole{});
+  lease.handle(seconds(0), KeyRead{"", 0, 1});
+  lease.handle(seconds(10), TimerExpired{});
+  lease.handle(seconds(10), SessionCreated{"s1", seconds(10)});
+  lease.handle(seconds(10), AcquireAnswered{true, seconds(10)});
+  ASSERT_NE(find<LeaseActive>(lease.handle(seconds(10), KeyRead{"s1", 7, 2})), nullptr);
+  EXPECT_NE(find<ReleaseSession>(lease.handle(seconds(11), ResignRole{})), nullptr);
+  lease.handle(seconds(11), AcquireRole{});
+  lease.handle(seconds(11), KeyRead{"", 7, 3});
+  lease.handle(seconds(11), SessionReleased{});
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(21), TimerExpired{})), nullptr);
+  EXPECT_NE(find<CreateSession>(lease.handle(seconds(22), TimerExpired{})), nullptr);
 }
 
 // Found with 300 relays: while the lock-delay ran the key looked free, and all who waited made sessions and
@@ -206,21 +206,21 @@
   timing.lock_delay = seconds(6);
   timing.spread = Time::zero();
   Lease lease(timing);
-  lease.handle(seconds(0), Want{});
-  lease.handle(seconds(0), KeySeen{"other", 4, 9});
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(10), KeySeen{"", 4, 10, false, true})), nullptr);
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(15), TimeDue{})), nullptr);
-  EXPECT_NE(find<CreateSession>(lease.handle(seconds(16), TimeDue{})), nullptr);
+  lease.handle(seconds(0), AcquireRole{});
+  lease.handle(seconds(0), KeyRead{"other", 4, 9});
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(10), KeyRead{"", 4, 10, false, true})), nullptr);
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(15), TimerExpired{})), nullptr);
+  EXPECT_NE(find<CreateSession>(lease.handle(seconds(16), TimerExpired{})), nullptr);
   // One that was released is tried at once, and one read anew as it was is not waited for again.
   Lease second(timing);
-  second.handle(seconds(0), Want{});
-  second.handle(seconds(0), KeySeen{"other", 4, 9});
-  EXPECT_NE(find<CreateSession>(second.handle(seconds(10), KeySeen{"", 4, 10})), nullptr);
+  second.handle(seconds(0), AcquireRole{});
+  second.handle(seconds(0), KeyRead{"other", 4, 9});
+  EXPECT_NE(find<CreateSession>(second.handle(seconds(10), KeyRead{"", 4, 10})), nullptr);
   Lease third(timing);
-  third.handle(seconds(0), Want{});
-  third.handle(seconds(0), KeySeen{"", 4, 10, false, true});
-  third.handle(seconds(5), KeySeen{"", 4, 10, false, true});
-  EXPECT_NE(find<CreateSession>(third.handle(seconds(6), TimeDue{})), nullptr);
+  third.handle(seconds(0), AcquireRole{});
+  third.handle(seconds(0), KeyRead{"", 4, 10, false, true});
+  third.handle(seconds(5), KeyRead{"", 4, 10, false, true});
+  EXPECT_NE(find<CreateSession>(third.handle(seconds(6), TimerExpired{})), nullptr);
 }
 
 TEST(Lease, RefusesATimingWhoseRenewCannotComeBackBeforeActingEnds) {
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -82,9 +82,9 @@
   return value.isObject() ? value["msg"].asString() : "";
 }
 
-LogSettings in_form(LogForm form) {
+LogSettings in_form(LogFormat form) {
   LogSettings settings;
-  settings.form = form;
+  settings.format = form;
   return settings;
 }
 
@@ -105,7 +105,7 @@
 
 TEST(LogPipe, TellsHowManyLinesHadNoRoomInAWholeLine) {
   ErrorPipe pipe;
-  Log log("n0", in_form(LogForm::json));
+  Log log("n0", in_form(LogFormat::json));
   for (int i = 0; i < 1000; ++i) log.report(std::string(200, 'x'));
   const std::size_t written = lines_of(pipe.drained()).size();
   log.report("after");
@@ -121,8 +121,8 @@
   ErrorPipe pipe;
   constexpr std::size_t kPipePiece = 4096;  // bytes
   const std::string text(20000, GetParam());
-  Log(std::string("n0"), in_form(LogForm::json)).report(text);
-  Log(std::string("n0"), in_form(LogForm::logfmt)).report(text);
+  Log(std::string("n0"), in_form(LogFormat::json)).report(text);
+  Log(std::string("n0"), in_form(LogFormat::logfmt)).report(text);
   Log(std::string("n0")).report(text);
   const std::vector<std::string> lines = lines_of(pipe.drained());
   ASSERT_EQ(lines.size(), 3u);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -32,7 +32,7 @@
   settings.services[1].name = "office";
   settings.services[1].destination = 9;
   settings.membership.services = kServices;
-  settings.membership.most_loss = 1;           // nothing is held back
+  settings.membership.max_loss_share = 1;      // nothing is held back
   settings.membership.damping.suppress = 1e9;  // nothing waits
   return settings;
 }
@@ -56,7 +56,7 @@
 // What the relay does with the list's changes.
 using Listed = std::map<std::string, HostEntry>;
 void adopt(Listed& listed, const HostList& list) {
-  if (list.whole) listed.clear();
+  if (list.full) listed.clear();
   for (const HostEntry& entry : list.hosts) {
     if (entry.condition == Condition::gone) {
       listed.erase(entry.id);
@@ -76,10 +76,10 @@
   MembershipChange take(std::uint32_t service, const std::string& text, bool leader = true) {
     readers[service]->begin();
     std::mt19937 random(static_cast<unsigned>(text.size()));
-    for (const std::string_view piece : test::cut(text, random)) readers[service]->feed(piece);
+    for (const std::string_view piece : test::split_at_random(text, random)) readers[service]->feed(piece);
     ServiceAnswer answer = readers[service]->finish();
-    answer.leader = leader;
-    return note(membership.take(now, answer));
+    answer.leader_in_contact = leader;
+    return note(membership.apply(now, answer));
   }
   MembershipChange take(std::uint32_t service, const std::vector<CatalogueHost>& hosts, bool leader = true) {
     return take(service, answer_text(settings.services[service].name, hosts), leader);
@@ -209,8 +209,8 @@
 RC_GTEST_PROP(MembershipProperty, ADrainIsToldAtOnceAndAllIsSettledInTheEnd, ()) {
   const auto steps = *ops();
   ConsulSettings settings = consul_settings();
-  settings.membership.most_loss = 0.5;
-  settings.membership.damping = {.suppress = 2, .reuse = 1, .half_life = seconds(5), .most = seconds(20)};
+  settings.membership.max_loss_share = 0.5;
+  settings.membership.damping = {.suppress = 2, .reuse = 1, .half_life = seconds(5), .max_wait = seconds(20)};
   Pipeline p(settings);
   std::vector<World> worlds(kServices);
   for (const Op& op : steps) {
@@ -227,8 +227,8 @@
       }
     }
   }
-  p.pass(settings.membership.loss_hold + settings.membership.damping.most + seconds(1));
-  RC_ASSERT(p.membership.next() == Time::max());
+  p.pass(settings.membership.loss_hold + settings.membership.damping.max_wait + seconds(1));
+  RC_ASSERT(p.membership.next_due() == Time::max());
   std::size_t hosts = 0;
   for (std::size_t s = 0; s < kServices; ++s) {
     hosts += worlds[s].size();
@@ -248,7 +248,7 @@
   for (unsigned seed = 0; seed < 2000; ++seed) {
     std::mt19937 random(seed);
     try {
-      p.take(0, test::garbage(good, random));
+      p.take(0, test::corrupted_copy(good, random));
     } catch (const AnswerError&) {
     }
     p.take(0, good);
@@ -268,7 +268,7 @@
   d.port = 0;
   p.take(0, {a, b, c, d, e});
   EXPECT_EQ(p.readers[0]->unusable(), 4u);
-  EXPECT_NE(p.readers[0]->complaint().find("there is no DNS: 'partner.example'"), std::string::npos);
+  EXPECT_NE(p.readers[0]->first_problem().find("there is no DNS: 'partner.example'"), std::string::npos);
   for (const char* id : {"a", "b", "c", "e"}) {
     EXPECT_EQ(p.condition("bank/node-1/" + std::string(id) + "@1"), "ready") << id;
   }
@@ -286,9 +286,9 @@
   for (std::size_t i = 0; i < hosts.size(); i += 2) hosts[i].port = -1;
   hosts[1].status = "critical";
   const MembershipChange change = p.take(0, hosts);
-  EXPECT_TRUE(change.lines.empty());
+  EXPECT_TRUE(change.log_lines.empty());
   EXPECT_EQ(p.readers[0]->unusable(), 2500u);
-  EXPECT_LE(p.readers[0]->complaint().size(), 200u);
+  EXPECT_LE(p.readers[0]->first_problem().size(), 200u);
   EXPECT_EQ(p.listed.size(), 5000u);
   EXPECT_EQ(p.condition("bank/node-1/h1@0"), "draining");
   EXPECT_EQ(p.condition("bank/node-1/h2@0"), "ready");
@@ -296,16 +296,16 @@
 
 TEST(Membership, ALossWithoutADrainWaitsForTheLeadersSecondWord) {
   ConsulSettings settings = consul_settings();
-  settings.membership.most_loss = 0.5;
+  settings.membership.max_loss_share = 0.5;
   Pipeline p(settings);
   const auto a = catalogue_host("a", 1), b = catalogue_host("b", 1), c = catalogue_host("c", 1);
   p.take(0, {a, b, c});
-  EXPECT_FALSE(p.take(0, {a, b}).ask_again);  // one of three is believed
+  EXPECT_FALSE(p.take(0, {a, b}).query_again);  // one of three is believed
   EXPECT_EQ(p.condition("bank/node-1/c@1"), "gone");
   p.now += seconds(1);
   const MembershipChange emptied = p.take(0, std::vector<CatalogueHost>{});
-  EXPECT_TRUE(emptied.ask_again);
-  EXPECT_EQ(emptied.lines.size(), 1u);
+  EXPECT_TRUE(emptied.query_again);
+  EXPECT_EQ(emptied.log_lines.size(), 1u);
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
   p.now += milliseconds(1);
   p.take(0, std::vector<CatalogueHost>{},
@@ -324,20 +324,21 @@
 // Guards the drain rule against the guard: what drained first is gone at once, however many there are.
 TEST(Membership, ALossAfterADrainIsBelievedAtOnce) {
   ConsulSettings settings = consul_settings();
-  settings.membership.most_loss = 0;
+  settings.membership.max_loss_share = 0;
   Pipeline p(settings);
   CatalogueHost a = catalogue_host("a", 1), b = catalogue_host("b", 1);
   p.take(0, {a, b});
   a.status = "critical";
   b.maintenance = true;
   p.take(0, {a, b});
-  EXPECT_FALSE(p.take(0, std::vector<CatalogueHost>{}).ask_again);
+  EXPECT_FALSE(p.take(0, std::vector<CatalogueHost>{}).query_again);
   EXPECT_TRUE(p.listed.empty());
 }
 
 TEST(Membership, AHostThatComesAndGoesWaitsLongerAndLonger) {
   ConsulSettings settings = consul_settings();
-  settings.membership.damping = {.suppress = 3, .reuse = 1.5, .half_life = seconds(15), .most = seconds(60)};
+  settings.membership.damping = {
+      .suppress = 3, .reuse = 1.5, .half_life = seconds(15), .max_wait = seconds(60)};
   Pipeline p(settings);
   CatalogueHost a = catalogue_host("a", 1);
   const auto flip = [&] {
@@ -355,12 +356,12 @@
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
   for (int i = 0; i < 3; ++i) flip();
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "draining");
-  EXPECT_EQ(p.membership.figures().suppressed, 1u);
+  EXPECT_EQ(p.membership.stats().suppressed, 1u);
   // Deregistered and back: what it did before is not forgotten.
   p.take(0, std::vector<CatalogueHost>{});
   p.take(0, {a});
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "draining");
-  const Time due = p.membership.next();
+  const Time due = p.membership.next_due();
   EXPECT_LE(due, p.now + seconds(60));
   p.pass(due - p.now);
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
@@ -392,7 +393,7 @@
     p.take(0, {catalogue_host("h" + std::to_string(i), i % 100)});
     p.now += milliseconds(100);
   }
-  EXPECT_LE(p.membership.records(), 1u + 4096u);
+  EXPECT_LE(p.membership.record_count(), 1u + 4096u);
   EXPECT_EQ(p.readers[0]->hosts(), 1u);
   EXPECT_EQ(p.listed.size(), 1u);
 }
@@ -421,7 +422,7 @@
   p.take(1, {catalogue_host("c", 3)});
   EXPECT_EQ(ListStore(folder, 1 << 20).save(p.membership, p.settings, p.names), "");
   std::map<std::string, Instance> before;
-  p.membership.each_instance([&](auto, const Instance& i) { before[i.id] = i; });
+  p.membership.for_each_instance([&](auto, const Instance& i) { before[i.id] = i; });
   EXPECT_EQ(loaded(p.settings), before);
   ConsulSettings fewer = p.settings;
   fewer.services.erase(fewer.services.begin());
@@ -469,51 +470,52 @@
   ConsulSettings settings = consul_settings();
   settings.consistency = Consistency::stale;
   WatchPlan plan(settings, 7, milliseconds(50), seconds(1));
-  EXPECT_EQ(plan.next().index, 0u);
-  EXPECT_EQ(plan.head(good_head(40)), WatchPlan::Use::read);
-  plan.taken();
-  EXPECT_EQ(plan.next().index, 40u);
-  EXPECT_LE(plan.next().wait, settings.wait);
-  EXPECT_GE(plan.next().wait, settings.wait * 15 / 16);
+  EXPECT_EQ(plan.next_query().index, 0u);
+  EXPECT_EQ(plan.on_head(good_head(40)), WatchPlan::AnswerUse::usable);
+  plan.on_answer_read();
+  EXPECT_EQ(plan.next_query().index, 40u);
+  EXPECT_LE(plan.next_query().wait, settings.blocking_wait);
+  EXPECT_GE(plan.next_query().wait, settings.blocking_wait * 15 / 16);
   AnswerHead error;
   error.status = 500;
   error.index = 3;
-  EXPECT_EQ(plan.head(error), WatchPlan::Use::refused);  // an error's index counts for nothing
+  EXPECT_EQ(plan.on_head(error), WatchPlan::AnswerUse::rejected);  // an error's index counts for nothing
   EXPECT_GT(plan.pause(), Time(0));
-  EXPECT_EQ(plan.next().index, 40u);
-  plan.failed();
-  EXPECT_EQ(plan.next().index, 40u);
-  EXPECT_EQ(plan.head(good_head(39)), WatchPlan::Use::backwards);
-  const WatchQuery again = plan.next();
+  EXPECT_EQ(plan.next_query().index, 40u);
+  plan.on_failure();
+  EXPECT_EQ(plan.next_query().index, 40u);
+  EXPECT_EQ(plan.on_head(good_head(39)), WatchPlan::AnswerUse::index_decreased);
+  const WatchQuery again = plan.next_query();
   EXPECT_EQ(again.index, 0u);
   EXPECT_EQ(again.consistency, Consistency::normal);  // from the leader
   EXPECT_EQ(plan.pause(), Time(0));
-  EXPECT_EQ(plan.head(good_head(39)), WatchPlan::Use::read);
-  plan.taken();
-  EXPECT_EQ(plan.next().index, 39u);
-  EXPECT_EQ(plan.next().consistency, Consistency::stale);
-  EXPECT_EQ(plan.head(good_head(0)), WatchPlan::Use::backwards);  // never below 1, and that is less than 39
-  EXPECT_EQ(plan.next().index, 0u);
-  EXPECT_EQ(plan.head(good_head(0)), WatchPlan::Use::refused);  // no Consul at all
+  EXPECT_EQ(plan.on_head(good_head(39)), WatchPlan::AnswerUse::usable);
+  plan.on_answer_read();
+  EXPECT_EQ(plan.next_query().index, 39u);
+  EXPECT_EQ(plan.next_query().consistency, Consistency::stale);
+  EXPECT_EQ(plan.on_head(good_head(0)),
+            WatchPlan::AnswerUse::index_decreased);  // never below 1, and that is less than 39
+  EXPECT_EQ(plan.next_query().index, 0u);
+  EXPECT_EQ(plan.on_head(good_head(0)), WatchPlan::AnswerUse::rejected);  // no Consul at all
 }
 
 TEST(WatchPlan, AsksTheLeaderWhereAServerIsOutOfTouch) {
   ConsulSettings settings = consul_settings();
   settings.consistency = Consistency::stale;
   WatchPlan plan(settings, 7, milliseconds(50), seconds(1));
-  plan.next();
+  plan.next_query();
   AnswerHead far = good_head(4);
-  far.last_contact = settings.most_stale + milliseconds(1);
-  EXPECT_EQ(plan.head(far), WatchPlan::Use::distant);
-  plan.taken();
-  EXPECT_EQ(plan.next().consistency, Consistency::normal);
+  far.last_contact = settings.max_stale + milliseconds(1);
+  EXPECT_EQ(plan.on_head(far), WatchPlan::AnswerUse::without_leader);
+  plan.on_answer_read();
+  EXPECT_EQ(plan.next_query().consistency, Consistency::normal);
   AnswerHead headless = good_head(5);
   headless.known_leader = false;
-  EXPECT_EQ(plan.head(headless), WatchPlan::Use::distant);
-  plan.taken();
-  plan.confirm();
-  EXPECT_EQ(plan.next().index, 0u);
-  EXPECT_TRUE(plan.fresh());
+  EXPECT_EQ(plan.on_head(headless), WatchPlan::AnswerUse::without_leader);
+  plan.on_answer_read();
+  plan.query_again();
+  EXPECT_EQ(plan.next_query().index, 0u);
+  EXPECT_TRUE(plan.from_leader());
 }
 
 TEST(WatchPlan, WaitsLongerAndNeverInStep) {
@@ -521,8 +523,8 @@
   WatchPlan one(settings, 1, milliseconds(50), seconds(1)), other(settings, 2, milliseconds(50), seconds(1));
   bool apart = false;
   for (int i = 0; i < 40; ++i) {
-    one.failed();
-    other.failed();
+    one.on_failure();
+    other.on_failure();
     apart = apart || one.pause() != other.pause();
     EXPECT_LE(one.pause(), seconds(1));
     EXPECT_GE(one.pause(), i < 5 ? milliseconds(25) : milliseconds(500));
@@ -531,17 +533,17 @@
   AnswerHead turned_away;
   turned_away.status = 429;
   turned_away.retry_after = seconds(3);
-  one.head(turned_away);
+  one.on_head(turned_away);
   EXPECT_GE(one.pause(), seconds(3));
 }
 
 TEST(QueryBudget, LetsSoManyGoInASecond) {
-  QueryBudget budget(10);
+  QueryRateLimiter budget(10);
   std::size_t went = 0;
   Time now = seconds(1000);
   const Time end = now + seconds(10);
   while (now < end) {
-    now = std::max(now, budget.take(now));
+    now = std::max(now, budget.reserve(now));
     ++went;
   }
   EXPECT_GE(went, 100u);
--- a/tests/net_fixture.hpp
+++ b/tests/net_fixture.hpp
@@ -19,7 +19,7 @@
 using standin::request_text;
 
 // The text in pieces of random sizes.
-inline std::vector<std::string_view> cut(std::string_view text, std::mt19937& random) {
+inline std::vector<std::string_view> split_at_random(std::string_view text, std::mt19937& random) {
   std::vector<std::string_view> pieces;
   while (!text.empty()) {
     const std::size_t most = random() % 4 == 0 ? text.size() : 12;
@@ -31,7 +31,7 @@
 }
 
 // A valid text with some bytes changed, or bytes that are nothing.
-inline std::string garbage(std::string text, std::mt19937& random) {
+inline std::string corrupted_copy(std::string text, std::mt19937& random) {
   if (random() % 3 == 0) text.assign(random() % 400, ' ');
   const std::size_t changes = text.empty() ? 0 : 1 + random() % (text.size() < 20 ? 4 : text.size() / 10);
   for (std::size_t i = 0; i < changes; ++i) text[random() % text.size()] = static_cast<char>(random());
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -180,7 +180,7 @@
 // The new process goes on with the session and the token of the old one.
 TEST_F(OwnershipUpgraded, AnUpgradeKeepsTheRole) {
   for (int i = 0; i < 3; ++i)
-    ASSERT_EQ(upgrade::ask_for_upgrade(lab.relay(owner).state_folder(), seconds(90)), 0)
+    ASSERT_EQ(upgrade::request_upgrade(lab.relay(owner).state_folder(), seconds(90)), 0)
         << lab.relay(owner).log();
   expect_work();
   const History h = lab.history();
@@ -301,7 +301,7 @@
   fleet::Sweep sweep(settings);
   const auto look = [&](int at, const std::vector<fleet::Registration>& all) {
     std::string ids;
-    for (const auto& r : sweep.look(seconds(at), all)) ids += r.id;
+    for (const auto& r : sweep.find_stale(seconds(at), all)) ids += r.id;
     return ids;
   };
   const auto a = registration("a", true, 7), b = registration("b", true, 8), c = registration("c", false, 9);
@@ -309,18 +309,18 @@
   EXPECT_EQ(look(1059, {a, b, c}), "");
   // One has passed in between: its check has another index, and its time begins anew.
   EXPECT_EQ(look(1060, {a, registration("b", true, 12), c}), "a");
-  EXPECT_EQ(sweep.watched(), 2u);
+  EXPECT_EQ(sweep.tracked_count(), 2u);
   EXPECT_EQ(look(1061, {registration("b", true, 12)}), "");
-  EXPECT_EQ(sweep.watched(), 1u);  // what is gone is forgotten
+  EXPECT_EQ(sweep.tracked_count(), 1u);  // what is gone is forgotten
   EXPECT_EQ(look(1120, {registration("b", true, 12)}), "b");
-  sweep.begin();  // a new holder goes by what it sees itself
+  sweep.reset();  // a new holder goes by what it sees itself
   EXPECT_EQ(look(2000, {registration("b", true, 12)}), "");
   settings.stale_after = seconds(0);
-  settings.most = 2;
-  EXPECT_EQ(fleet::Sweep(settings).look(seconds(1), {a, b, registration("d", true, 1)}).size(), 2u);
+  settings.max_removals = 2;
+  EXPECT_EQ(fleet::Sweep(settings).find_stale(seconds(1), {a, b, registration("d", true, 1)}).size(), 2u);
   fleet::Registration unchecked = a;
   unchecked.check.clear();
-  EXPECT_EQ(fleet::Sweep(settings).look(seconds(1), {unchecked}).size(), 0u);
+  EXPECT_EQ(fleet::Sweep(settings).find_stale(seconds(1), {unchecked}).size(), 0u);
 }
 
 TEST(FleetAgentText, ReadsOnlyWhatConsulWouldSay) {
@@ -328,7 +328,7 @@
             "adf4238a-882b-9ddc-4a9d-5b6758e4159e");
   for (const char* bad : {"", "{}", "[]", R"({"ID":[]})", R"({"ID":"a/../b"})", R"({"ID":"a b"})"})
     EXPECT_EQ(session_id(bad), "") << bad;
-  lease::KeySeen seen;
+  lease::KeyRead seen;
   EXPECT_TRUE(read_key(R"([{"LockIndex":3,"Session":"s"}])", seen));
   EXPECT_EQ(seen.holder, "s");
   EXPECT_EQ(seen.lock_index, 3u);
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -45,7 +45,7 @@
     std::mt19937 random(seed);
     HttpReader reader(Kind::request, 4096, 65536);
     std::vector<std::string> ids, got;
-    for (std::string_view piece : cut(text, random)) {
+    for (std::string_view piece : split_at_random(text, random)) {
       while (!piece.empty()) {
         piece.remove_prefix(reader.feed(piece));
         ASSERT_FALSE(reader.failed());
@@ -69,7 +69,7 @@
     std::mt19937 random(seed);
     HttpReader reader(Kind::response, 4096, 30);
     std::string body;
-    for (std::string_view piece : cut(text, random)) {
+    for (std::string_view piece : split_at_random(text, random)) {
       EXPECT_EQ(reader.feed(piece), piece.size());
       body += reader.take_body();
     }
@@ -115,7 +115,7 @@
   }
   HttpReader reader(Kind::request, 4096, 65536);
   reader.feed("GET /up HTTP/2.0\r\n\r\n");
-  EXPECT_EQ(reader.refusal(), 505u);
+  EXPECT_EQ(reader.error_status(), 505u);
   reader.reset();
   reader.feed("POST /note HTTP/1.1\r\ntransfer-encoding:  Chunked \r\n\r\n5\r\nhello\r\n0\r\n\r\n");
   EXPECT_TRUE(reader.done());
@@ -136,27 +136,28 @@
     for (unsigned seed = 0; seed < 20; ++seed) {
       std::mt19937 random(seed);
       HttpReader reader(Kind::response, 4096, 65536);
-      for (std::string_view piece : cut(text, random)) reader.feed(piece);
+      for (std::string_view piece : split_at_random(text, random)) reader.feed(piece);
       EXPECT_FALSE(reader.done()) << text;
-      EXPECT_EQ(reader.first_line_says(200), says) << text;
-      EXPECT_FALSE(reader.first_line_says(500)) << text;
+      EXPECT_EQ(reader.first_line_has_status(200), says) << text;
+      EXPECT_FALSE(reader.first_line_has_status(500)) << text;
     }
   }
 }
 
 // Guards the descriptors and the memory of the smallest machine, whatever the slots.
 TEST(Limits, FitTheirMachine) {
-  for (const Allowance& a :
-       {Allowance{256, 32, 3}, Allowance{384, 48, 3}, Allowance{1024, 192, 3}, Allowance{64, 8, 1}}) {
+  for (const ResourceLimits& a : {ResourceLimits{256, 32, 3}, ResourceLimits{384, 48, 3},
+                                  ResourceLimits{1024, 192, 3}, ResourceLimits{64, 8, 1}}) {
     for (std::size_t slots : {1u, 40u, 400u}) {
       const Limits l = make_limits(a, slots, 500, std::chrono::seconds(1), std::chrono::seconds(15));
-      EXPECT_LE(l.downstream_connections + l.upstream_connections + 32, std::max<std::size_t>(a.sockets, 40));
-      EXPECT_LE(l.downstream_connections * 96 * 1024, a.memory_mb * 1024 * 1024 / 2 + 4 * 96 * 1024);
+      EXPECT_LE(l.max_downstream_connections + l.max_upstream_connections + 32,
+                std::max<std::size_t>(a.sockets, 40));
+      EXPECT_LE(l.max_downstream_connections * 96 * 1024, a.memory_mb * 1024 * 1024 / 2 + 4 * 96 * 1024);
       if (a.sockets >= 256) {
-        EXPECT_GT(l.downstream_connections, a.sockets / 3);  // the usual clients' part
-        EXPECT_GE(l.upstream_connections, std::min<std::size_t>(slots, 40));
+        EXPECT_GT(l.max_downstream_connections, a.sockets / 3);  // the usual clients' part
+        EXPECT_GE(l.max_upstream_connections, std::min<std::size_t>(slots, 40));
       }
-      EXPECT_GT(l.journal_file, 100'000u);
+      EXPECT_GT(l.max_journal_file, 100'000u);
     }
   }
 }
@@ -164,18 +165,18 @@
 TEST(HttpReader, HoldsItsBounds) {
   HttpReader reader(Kind::request, 300, 10);
   reader.feed(request_text("a1", std::string(11, 'x')));
-  EXPECT_EQ(reader.refusal(), 413u);  // by its length, before a byte of the body
+  EXPECT_EQ(reader.error_status(), 413u);  // by its length, before a byte of the body
   reader.reset();
   reader.feed("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n8\r\n12345678\r\n");
-  EXPECT_EQ(reader.refusal(), 413u);
+  EXPECT_EQ(reader.error_status(), 413u);
   reader.reset();
   reader.feed("GET /" + std::string(400, 'a'));
-  EXPECT_EQ(reader.refusal(), 431u);
+  EXPECT_EQ(reader.error_status(), 431u);
   reader.reset();
   std::string many = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 100; ++i) many += "a: \r\n";  // empty lines cost too
   reader.feed(many);
-  EXPECT_EQ(reader.refusal(), 431u);
+  EXPECT_EQ(reader.error_status(), 431u);
 }
 
 TEST(HttpReader, StandsGarbage) {
@@ -185,24 +186,24 @@
     HttpReader reader(request ? Kind::request : Kind::response, 1000, 1000);
     const std::string valid =
         request ? request_text() : "HTTP/1.1 429 Busy\r\nX-Come-Back-Ms: 5\r\nContent-Length: 2\r\n\r\nab";
-    const std::string text = garbage(valid, random);
-    for (std::string_view piece : cut(text, random)) {
+    const std::string text = corrupted_copy(valid, random);
+    for (std::string_view piece : split_at_random(text, random)) {
       const std::size_t used = reader.feed(piece);
       ASSERT_LE(used, piece.size());
     }
     reader.end_of_input();
     if (!reader.done() && !reader.failed()) continue;
     const Config config = parse_config(config_json());
-    if (request && reader.done()) read_offer(reader, config);
-    if (!request && reader.done()) meaning(reader);
+    if (request && reader.done()) parse_message_request(reader, config);
+    if (!request && reader.done()) interpret_answer(reader);
   }
 }
 
 unsigned refused(const std::string& text, const Config& config) {
   HttpReader reader(Kind::request, 4096, 65536);
   reader.feed(text);
-  if (!reader.done()) return reader.refusal();
-  const auto offer = read_offer(reader, config);
+  if (!reader.done()) return reader.error_status();
+  const auto offer = parse_message_request(reader, config);
   const unsigned* status = std::get_if<unsigned>(&offer);
   return status ? *status : 0;
 }
@@ -221,15 +222,16 @@
     text.replace(text.find("Content-Length"), 0, headers);
     HttpReader reader(Kind::request, 4096, 65536);
     reader.feed(text);
-    return read_offer(reader, config);
+    return parse_message_request(reader, config);
   };
   const auto status = [&](const std::string& headers) {
     const auto offer = read("note", headers);
     return std::holds_alternative<unsigned>(offer) ? std::get<unsigned>(offer) : 0;
   };
-  EXPECT_EQ(std::get<Offered>(read("note", "Idempotency-Key: 5c0f-6e1a\r\n")).idempotency_key, "5c0f-6e1a");
-  EXPECT_EQ(std::get<Offered>(read("pay", "Idempotency-Key: k\r\n")).idempotency_key, "k");
-  EXPECT_EQ(std::get<Offered>(read("pay", "")).idempotency_key, "");
+  EXPECT_EQ(std::get<MessageSubmitted>(read("note", "Idempotency-Key: 5c0f-6e1a\r\n")).idempotency_key,
+            "5c0f-6e1a");
+  EXPECT_EQ(std::get<MessageSubmitted>(read("pay", "Idempotency-Key: k\r\n")).idempotency_key, "k");
+  EXPECT_EQ(std::get<MessageSubmitted>(read("pay", "")).idempotency_key, "");
   EXPECT_EQ(status("Idempotency-Key: " + std::string(255, 'k') + "\r\n"), 0u);
   EXPECT_EQ(status(""), 400u);
   EXPECT_EQ(status("Idempotency-Key: \r\n"), 400u);
@@ -242,7 +244,7 @@
   const Config config = parse_config(config_json());
   HttpReader reader(Kind::request, 4096, 65536);
   reader.feed(request_text("9b1f", "body", "pay"));
-  auto offer = std::get<Offered>(read_offer(reader, config));
+  auto offer = std::get<MessageSubmitted>(parse_message_request(reader, config));
   EXPECT_EQ(offer.id, "9b1f");
   EXPECT_EQ(*offer.body, "body");
   EXPECT_EQ(offer.message_class, 1u);
@@ -288,24 +290,24 @@
     HttpReader reader(Kind::response, 4096, 100);
     reader.feed("HTTP/1.1 " + c.head + "\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(reader.done()) << c.head;
-    const AnswerMeaning m = meaning(reader);
+    const AnswerMeaning m = interpret_answer(reader);
     EXPECT_EQ(m.outcome, c.outcome) << c.head;
-    EXPECT_EQ(m.over, c.over) << c.head;
+    EXPECT_EQ(m.ended_elsewhere, c.over) << c.head;
     EXPECT_EQ(m.no_slot, c.no_slot) << c.head;
-    EXPECT_EQ(m.told_wait, std::chrono::milliseconds(c.wait_ms)) << c.head;
+    EXPECT_EQ(m.retry_after, std::chrono::milliseconds(c.wait_ms)) << c.head;
   }
 }
 
 TEST(LoadReport, NeedsBothItsFields) {
   const Config config = parse_config(config_json());
-  const auto report = load_report("x0=0.4,x1=25", config.boot);
+  const auto report = parse_load_report("x0=0.4,x1=25", config.boot);
   EXPECT_TRUE(report.present);
   EXPECT_DOUBLE_EQ(report.allowance_left, 0.4);
   EXPECT_DOUBLE_EQ(report.limit, 25);
   for (const char* bad :
        {"", "x0=0.4", "x0=,x1=", "x0=nan,x1=1", "=,=,,", "x0", "x0=0.4,x1=25zz", "x0=0.4,x0=25",
         "x0=0.4,x1=25,x1=3", "x0=0.4,x1=1e300", "x0=-1,x1=25", "x0=0.4,x1=25,\x01"}) {
-    EXPECT_FALSE(load_report(bad, config.boot).present) << bad;
+    EXPECT_FALSE(parse_load_report(bad, config.boot).present) << bad;
   }
 }
 
@@ -316,10 +318,10 @@
   EXPECT_EQ(c.boot.settings.slots, 8u);
   EXPECT_DOUBLE_EQ(c.boot.settings.tenants.at(0).rate, 9.5);
   EXPECT_EQ(c.boot.classes, (std::vector<std::string>{"note", "pay"}));
-  ASSERT_EQ(c.known.hosts.size(), 1u);
-  EXPECT_EQ(c.known.hosts[0].destination, 7u);
-  EXPECT_LE(c.limits.downstream_connections + c.limits.upstream_connections, 1024u - 32);
-  EXPECT_LE(c.limits.journal_file * 2, 3'000'000u);  // old and new stand side by side
+  ASSERT_EQ(c.known_hosts.hosts.size(), 1u);
+  EXPECT_EQ(c.known_hosts.hosts[0].destination, 7u);
+  EXPECT_LE(c.limits.max_downstream_connections + c.limits.max_upstream_connections, 1024u - 32);
+  EXPECT_LE(c.limits.max_journal_file * 2, 3'000'000u);  // old and new stand side by side
 }
 
 // Only one kind of exception leaves these parsers, and it is caught where they are called.
@@ -330,11 +332,11 @@
   for (unsigned seed = 0; seed < 1500; ++seed) {
     std::mt19937 random(seed);
     try {
-      parse_hosts(garbage(list, random), good.boot);
+      parse_hosts(corrupted_copy(list, random), good.boot);
     } catch (const ConfigError&) {
     }
     try {
-      parse_config(garbage(config, random));
+      parse_config(corrupted_copy(config, random));
     } catch (const ConfigError&) {
     }
   }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -23,7 +23,7 @@
   c.effect = effect;
   c.aim = seconds(4);
   c.deadline = seconds(30);
-  c.window = seconds(15);
+  c.dedup_window = seconds(15);
   c.worth = 1;
   c.late_worth = 0.3;
   s.classes = {c};
@@ -32,28 +32,29 @@
   s.max_held = 100;
   s.max_attempts = 12;
   s.connect_timeout = milliseconds(1500);
-  s.connection_idle = seconds(10);
-  s.max_return_after = seconds(3);
+  s.connection_idle_timeout = seconds(10);
+  s.max_retry_after = seconds(3);
   s.resolution = milliseconds(5);
   s.answer_slack = milliseconds(20);
   s.can_cancel = true;
-  s.can_advise_return = true;
+  s.can_send_retry_after = true;
   s.drain_grace = milliseconds(500);
-  s.cold_time = seconds(10);
-  s.cold_from = 0.2;
+  s.slow_start_time = seconds(10);
+  s.slow_start_min_share = 0.2;
   s.overload_factor = 2;
-  s.overload_time = seconds(3);
+  s.overload_window = seconds(3);
   return s;
 }
 
-class Bench {  // holds a forwarder, its time and what it did last
+class ForwarderHarness {  // holds a forwarder, its time and what it did last
  public:
-  explicit Bench(const Settings& s, std::vector<EndpointEntry> list = {{1, 7, 0, 0, 50, Condition::ready}})
+  explicit ForwarderHarness(const Settings& s,
+                            std::vector<EndpointEntry> list = {{1, 7, 0, 0, 50, Condition::ready}})
       : forwarder(s) {
     forwarder.start(now, actions);
-    give(ListChanged{true, false, std::move(list)});
+    handle(ListChanged{true, false, std::move(list)});
   }
-  void give(const Event& e) {
+  void handle(const Event& e) {
     forwarder.handle(now, e, actions);
     for (const Action& a : actions) {
       if (const auto* t = std::get_if<SetTimer>(&a)) timers.push_back(t->at);
@@ -61,15 +62,15 @@
       if (const auto* r = std::get_if<Refuse>(&a)) refused.push_back(*r);
       if (const auto* f = std::get_if<Fail>(&a)) failed.push_back(f->id);
       if (const auto* c = std::get_if<Cancel>(&a)) cancelled.push_back(c->id);
-      if (const auto* l = std::get_if<LogLine>(&a)) logged.push_back(l->text);
-      if (const auto* i = std::get_if<CloseIdle>(&a)) closed.push_back(i->endpoint);
+      if (const auto* l = std::get_if<LogMessage>(&a)) logged.push_back(l->text);
+      if (const auto* i = std::get_if<CloseIdleConnections>(&a)) closed_idle.push_back(i->endpoint);
     }
     last = actions;
     actions.clear();
   }
-  void message(MessageId id, Time left = seconds(30), std::uint32_t c = 0, std::uint64_t key = 0,
-               DestinationId destination = 7) {
-    give(MessageArrived{id, c, 0, destination, key, left});
+  void submit(MessageId id, Time left = seconds(30), std::uint32_t c = 0, std::uint64_t key = 0,
+              DestinationId destination = 7) {
+    handle(MessageArrived{id, c, 0, destination, key, left});
   }
   void outcome(MessageId id, Outcome o, Time wait = Time(0), bool finished = false) {
     std::uint32_t attempt = 0;
@@ -79,7 +80,7 @@
       if (endpoint != 0) ++attempt;
       endpoint = s.endpoint;
     }
-    give(AttemptEnded{
+    handle(AttemptEnded{
         id, attempt, endpoint, o, finished || o == Outcome::delivered, wait, false, {}, false, Time(-1)});
   }
   void advance(Time by) {  // firing the timers that fall due
@@ -89,18 +90,18 @@
       if (next == timers.end() || *next > until) break;
       now = std::max(now, *next);
       timers.erase(next);
-      give(TimerFired{});
+      handle(TimerExpired{});
     }
     now = until;
   }
-  std::size_t sends_of(MessageId id) const {
+  std::size_t send_count(MessageId id) const {
     return static_cast<std::size_t>(
         std::count_if(sent.begin(), sent.end(), [&](const auto& s) { return s.first.id == id; }));
   }
-  Time last_send() const { return sent.back().second; }
+  Time last_send_time() const { return sent.back().second; }
 
   // What it has noted, with a forwarder that knows nothing yet.
-  Bench(const Bench& other)
+  ForwarderHarness(const ForwarderHarness& other)
       : now(other.now),
         forwarder(Settings(settings())),
         timers(other.timers),
@@ -109,8 +110,8 @@
         failed(other.failed),
         cancelled(other.cancelled),
         logged(other.logged),
-        closed(other.closed) {}
-  Bench& operator=(Bench&&) = default;
+        closed_idle(other.closed_idle) {}
+  ForwarderHarness& operator=(ForwarderHarness&&) = default;
 
   Time now = seconds(1000);
   Forwarder forwarder;
@@ -120,12 +121,12 @@
   std::vector<Refuse> refused;
   std::vector<MessageId> failed, cancelled;
   std::vector<std::string> logged;
-  std::vector<EndpointId> closed;
+  std::vector<EndpointId> closed_idle;
 };
 
-void warm_up(Bench& b, MessageId first, int count, DestinationId destination = 7) {
+void warm_up(ForwarderHarness& b, MessageId first, int count, DestinationId destination = 7) {
   for (MessageId id = first; id < first + static_cast<MessageId>(count); ++id) {
-    b.message(id, seconds(30), 0, 0, destination);
+    b.submit(id, seconds(30), 0, 0, destination);
     b.advance(milliseconds(100));
     b.outcome(id, Outcome::delivered);
     b.advance(milliseconds(400));
@@ -134,27 +135,27 @@
 
 // --- The ordinary path
 TEST(OrdinaryPath, SendsAtOnceAndEndsWithTheDelivery) {
-  Bench b(settings());
-  b.message(1);
-  ASSERT_EQ(b.sends_of(1), 1u);
+  ForwarderHarness b(settings());
+  b.submit(1);
+  ASSERT_EQ(b.send_count(1), 1u);
   b.outcome(1, Outcome::delivered);
   b.advance(seconds(60));
-  EXPECT_EQ(b.sends_of(1), 1u);
+  EXPECT_EQ(b.send_count(1), 1u);
   EXPECT_TRUE(b.refused.empty() && b.failed.empty());
 }
 
 TEST(OrdinaryPath, WaitsMultiplierTimesAttemptsWithoutJitter) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 3);
-  b.message(1);
+  b.submit(1);
   Time pause[3];
   for (Time& p : pause) {
     b.advance(milliseconds(50));
     Time ended = b.now;
     b.outcome(1, Outcome::full);
-    std::size_t before = b.sends_of(1);
-    while (b.sends_of(1) == before) b.advance(milliseconds(5));
-    p = b.last_send() - ended;
+    std::size_t before = b.send_count(1);
+    while (b.send_count(1) == before) b.advance(milliseconds(5));
+    p = b.last_send_time() - ended;
   }
   EXPECT_NEAR(pause[0].count(), 1e6, 6e3);  // a quarter of the aim
   EXPECT_NEAR(pause[1].count(), 2e6, 6e3);
@@ -162,14 +163,14 @@
 }
 
 TEST(OrdinaryPath, ToldWaitHoldsTheWholeDestination) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 3);
-  b.message(1);
-  b.message(2);
+  b.submit(1);
+  b.submit(2);
   Time told = b.now;
   b.outcome(1, Outcome::full, milliseconds(2500));
   b.outcome(2, Outcome::full, milliseconds(100));  // never shortens it
-  b.message(3);
+  b.submit(3);
   std::size_t before = b.sent.size();
   b.advance(milliseconds(2499));
   EXPECT_EQ(b.sent.size(), before);
@@ -179,40 +180,40 @@
 }
 
 TEST(OrdinaryPath, WaitHoldsOneRouteWhereRoutesAreApart) {
-  Bench b(settings(), {{1, 7, 0, 1, 50, Condition::ready}, {2, 7, 0, 1, 50, Condition::ready}});
-  b.message(1);
+  ForwarderHarness b(settings(), {{1, 7, 0, 1, 50, Condition::ready}, {2, 7, 0, 1, 50, Condition::ready}});
+  b.submit(1);
   EndpointId first = b.sent[0].first.endpoint;
   b.outcome(1, Outcome::full, seconds(5));
-  b.message(2);
-  ASSERT_EQ(b.sends_of(2), 1u);
+  b.submit(2);
+  ASSERT_EQ(b.send_count(2), 1u);
   EXPECT_NE(b.sent[1].first.endpoint, first);
 }
 
 TEST(OrdinaryPath, EndsAtTheAttemptLimit) {
   Settings s = settings();
   s.max_attempts = 2;
-  Bench b(s);
-  b.message(1);
+  ForwarderHarness b(s);
+  b.submit(1);
   b.outcome(1, Outcome::full);
   b.advance(seconds(3));
-  ASSERT_EQ(b.sends_of(1), 2u);
+  ASSERT_EQ(b.send_count(1), 2u);
   b.outcome(1, Outcome::full);
   EXPECT_EQ(b.refused.size(), 1u);
 }
 
 TEST(OrdinaryPath, GivesUpAtOnceWhenTheTimeLeftCannotFitWaitAndCall) {
-  Bench b(settings());
-  b.message(1, milliseconds(2000));
+  ForwarderHarness b(settings());
+  b.submit(1, milliseconds(2000));
   b.advance(milliseconds(100));
   b.outcome(1, Outcome::full, milliseconds(2500));
   ASSERT_EQ(b.refused.size(), 1u);
   EXPECT_EQ(b.refused[0].id, 1u);
-  EXPECT_GE(b.refused[0].return_after, milliseconds(2400));
+  EXPECT_GE(b.refused[0].retry_after, milliseconds(2400));
 }
 
 TEST(OrdinaryPath, WindowStartsAtOneGrowsByOneAndHoldsThreeQuartersOfTheSlots) {
-  Bench b(settings());
-  for (MessageId id = 1; id <= 30; ++id) b.message(id);
+  ForwarderHarness b(settings());
+  for (MessageId id = 1; id <= 30; ++id) b.submit(id);
   EXPECT_EQ(b.sent.size(), 1u);
   b.advance(milliseconds(200));
   b.outcome(1, Outcome::delivered);
@@ -225,9 +226,9 @@
 }
 
 TEST(OrdinaryPath, RefusalHalvesTheWindow) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 10);
-  for (MessageId id = 1; id <= 30; ++id) b.message(id);
+  for (MessageId id = 1; id <= 30; ++id) b.submit(id);
   ASSERT_EQ(b.sent.size(), 16u);
   b.advance(milliseconds(100));
   b.outcome(1, Outcome::full);
@@ -238,8 +239,8 @@
 
 // --- The six rules at the gate
 TEST(Effects, UnsafeFailsAtOnceAfterADoubtfulOutcome) {
-  Bench b(settings(Effect::unsafe));
-  b.message(1);
+  ForwarderHarness b(settings(Effect::unsafe));
+  b.submit(1);
   b.outcome(1, Outcome::error);
   EXPECT_EQ(b.failed, std::vector<MessageId>{1});
   EXPECT_TRUE(b.refused.empty());
@@ -247,11 +248,11 @@
 
 TEST(Effects, UnsafeIsTriedAgainAfterProofThatItNeverRan) {
   for (Outcome o : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
-    Bench b(settings(Effect::unsafe));
-    b.message(1);
+    ForwarderHarness b(settings(Effect::unsafe));
+    b.submit(1);
     b.outcome(1, o);
     b.advance(seconds(8));
-    EXPECT_EQ(b.sends_of(1), 2u);
+    EXPECT_EQ(b.send_count(1), 2u);
     EXPECT_TRUE(b.failed.empty());
   }
 }
@@ -259,17 +260,17 @@
 TEST(Effects, KeyedStaysInItsZoneAndWindowAndFailsAfterIt) {
   Settings s = settings(Effect::keyed);
   s.classes[0].key_scope = KeyScope::zone;
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready}});
-  b.message(1);
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}});
+  b.submit(1);
   Time first = b.now;
   b.advance(milliseconds(100));
   b.outcome(1, Outcome::reset);
-  b.give(ListChanged{false, false, {{1, 7, 0, 0, 0, Condition::gone}, {2, 7, 1, 0, 50, Condition::ready}}});
+  b.handle(ListChanged{false, false, {{1, 7, 0, 0, 0, Condition::gone}, {2, 7, 1, 0, 50, Condition::ready}}});
   b.advance(first + milliseconds(14900) - b.now);
-  EXPECT_EQ(b.sends_of(1), 1u) << "no endpoint of its zone";
+  EXPECT_EQ(b.send_count(1), 1u) << "no endpoint of its zone";
   EXPECT_TRUE(b.failed.empty());
   b.advance(seconds(16));
-  EXPECT_EQ(b.sends_of(1), 1u);
+  EXPECT_EQ(b.send_count(1), 1u);
   EXPECT_EQ(b.failed, std::vector<MessageId>{1});
   EXPECT_TRUE(b.refused.empty()) << "a refusal would say that a repeat is harmless";
 }
@@ -278,22 +279,22 @@
 TEST(Effects, AKeyedRepeatBeginsWithinItsWindow) {
   Settings s = settings(Effect::keyed);
   s.classes[0].aim = seconds(2);
-  s.classes[0].window = seconds(1);
-  Bench b(s);
-  b.message(1);
+  s.classes[0].dedup_window = seconds(1);
+  ForwarderHarness b(s);
+  b.submit(1);
   const Time first = b.now;
   b.advance(milliseconds(100));
   b.outcome(1, Outcome::reset);
   b.advance(milliseconds(850));
-  ASSERT_EQ(b.sends_of(1), 2u);
+  ASSERT_EQ(b.send_count(1), 2u);
   const Send& repeat = b.sent.back().first;
   EXPECT_LE(b.sent.back().second + repeat.begin_within, first + seconds(1));
   EXPECT_GT(repeat.begin_within, Time(0));
 }
 
 TEST(Effects, KeyedWithAllEndpointsMayBeRefusedAfterDoubt) {
-  Bench b(settings(Effect::keyed));
-  b.message(1, seconds(3));
+  ForwarderHarness b(settings(Effect::keyed));
+  b.submit(1, seconds(3));
   b.advance(milliseconds(2950));
   b.outcome(1, Outcome::reset);
   EXPECT_EQ(b.refused.size(), 1u);
@@ -301,8 +302,8 @@
 }
 
 TEST(FinalAnswer, CallStillOutAtTheDeadlineIsAnsweredWithItsTimeout) {
-  Bench b(settings(Effect::unsafe));
-  b.message(1, seconds(5));
+  ForwarderHarness b(settings(Effect::unsafe));
+  b.submit(1, seconds(5));
   EXPECT_LE(b.sent[0].first.timeout, seconds(5));
   b.advance(seconds(5));
   EXPECT_TRUE(b.failed.empty());
@@ -313,67 +314,67 @@
 TEST(FinalAnswer, DroppedMessageGetsNoMoreAndItsLateOutcomeCounts) {
   Settings s = settings();
   s.slots = 1;
-  Bench b(s);
-  b.message(1);
-  b.message(2);
-  b.give(MessageDropped{1});
-  b.give(MessageDropped{99});
-  EXPECT_EQ(b.sends_of(2), 0u) << "the slot is still taken";
+  ForwarderHarness b(s);
+  b.submit(1);
+  b.submit(2);
+  b.handle(MessageDropped{1});
+  b.handle(MessageDropped{99});
+  EXPECT_EQ(b.send_count(2), 0u) << "the slot is still taken";
   b.outcome(1, Outcome::full);
   b.advance(seconds(20));
-  EXPECT_EQ(b.sends_of(1), 1u);
-  EXPECT_EQ(b.sends_of(2), 1u);
+  EXPECT_EQ(b.send_count(1), 1u);
+  EXPECT_EQ(b.send_count(2), 1u);
   for (const Refuse& r : b.refused) EXPECT_NE(r.id, 1u);
 }
 
 TEST(FinalAnswer, MessageWithoutAnyEndpointEndsBeforeItsDeadline) {
-  Bench b(settings(), {});
-  b.message(1, seconds(5));
+  ForwarderHarness b(settings(), {});
+  b.submit(1, seconds(5));
   b.advance(milliseconds(4999));
   EXPECT_EQ(b.refused.size(), 1u);
 }
 
 TEST(Drains, NothingNewFromTheEventOnAndAWholeListDropsWhatItLacks) {
-  Bench b(settings());
-  b.give(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
-  b.message(1);
+  ForwarderHarness b(settings());
+  b.handle(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
+  b.submit(1);
   EXPECT_TRUE(b.sent.empty());
-  b.give(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::ready}}});
-  EXPECT_EQ(b.sends_of(1), 1u);
-  b.give(ListChanged{true, false, {{2, 7, 0, 0, 50, Condition::ready}}});
+  b.handle(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::ready}}});
+  EXPECT_EQ(b.send_count(1), 1u);
+  b.handle(ListChanged{true, false, {{2, 7, 0, 0, 50, Condition::ready}}});
   b.advance(milliseconds(200));
   b.outcome(1, Outcome::delivered);
-  b.message(2);
+  b.submit(2);
   EXPECT_EQ(b.sent.back().first.endpoint, 2u);
 }
 
 TEST(Order, MessagesOfAKeyTakeTurnsAndRestAfterDoubt) {
   Settings s = settings();
   s.classes[0].sequential = true;
-  s.key_quiet = seconds(3);
-  Bench b(s);
+  s.key_quiet_time = seconds(3);
+  ForwarderHarness b(s);
   warm_up(b, 100, 3);
-  b.message(1, seconds(30), 0, 55);
-  b.message(2, seconds(30), 0, 55);
-  b.message(3, seconds(30), 0, 56);
-  EXPECT_EQ(b.sends_of(2), 0u);
-  EXPECT_EQ(b.sends_of(3), 1u);
+  b.submit(1, seconds(30), 0, 55);
+  b.submit(2, seconds(30), 0, 55);
+  b.submit(3, seconds(30), 0, 56);
+  EXPECT_EQ(b.send_count(2), 0u);
+  EXPECT_EQ(b.send_count(3), 1u);
   b.advance(milliseconds(100));
-  b.give(MessageDropped{1});
-  EXPECT_EQ(b.sends_of(2), 0u) << "an attempt of the first is still out";
+  b.handle(MessageDropped{1});
+  EXPECT_EQ(b.send_count(2), 0u) << "an attempt of the first is still out";
   b.outcome(1, Outcome::timeout, Time(0), true);
-  Time rest = b.now + s.key_quiet;
+  Time rest = b.now + s.key_quiet_time;
   b.advance(seconds(2));
-  EXPECT_EQ(b.sends_of(2), 0u);
+  EXPECT_EQ(b.send_count(2), 0u);
   b.advance(seconds(2));
-  ASSERT_EQ(b.sends_of(2), 1u);
-  EXPECT_GE(b.last_send(), rest);
+  ASSERT_EQ(b.send_count(2), 1u);
+  EXPECT_GE(b.last_send_time(), rest);
 }
 
 TEST(Lists, AreAskedForWhereChangesDoNotComeByThemselves) {
   Settings s = settings();
   s.list_on_request = true;
-  s.ask_within = seconds(10);
+  s.max_list_request_delay = seconds(10);
   Forwarder f(s);
   std::vector<Action> out;
   f.start(Time(1000), out);
@@ -382,15 +383,15 @@
   f.handle(Time(2000), ListFailed{}, out);
   ASSERT_EQ(out.size(), 1u);
   Time again = std::get<SetTimer>(out[0]).at;
-  EXPECT_LE(again, Time(2000) + s.ask_within);
+  EXPECT_LE(again, Time(2000) + s.max_list_request_delay);
   out.clear();
-  f.handle(again, TimerFired{}, out);
+  f.handle(again, TimerExpired{}, out);
   EXPECT_TRUE(std::holds_alternative<WatchList>(out.at(0)));
 }
 
 // --- Extensions
 // Sends of a busy queue to one destination in any span of overload_time.
-std::size_t most_in_any_span(const Bench& b, std::size_t from, Time span) {
+std::size_t max_sends_in_any_span(const ForwarderHarness& b, std::size_t from, Time span) {
   std::size_t most = 0;
   for (std::size_t i = from; i < b.sent.size(); ++i) {
     std::size_t n = 0;
@@ -402,10 +403,10 @@
 
 TEST(ReturningDestination, IsSentOnlyTrialsInTheOutageAndABudgetWhileCold) {
   Settings s = settings();
-  Bench b(s, {{1, 7, 0, 0, 10, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 10, Condition::ready}});
   warm_up(b, 100, 5);
   std::size_t before = b.sent.size();
-  for (MessageId id = 1; id <= 60; ++id) b.message(id);
+  for (MessageId id = 1; id <= 60; ++id) b.submit(id);
   auto answer_all = [&](Outcome o, Time each) {
     for (std::size_t i = before; i < b.sent.size(); ++i) {
       b.advance(each);
@@ -421,7 +422,7 @@
   }
   // factor 2 x 0.2 x 10 a second x 3 s = 12 calls at most in any 3 s of the outage; in fact it is a trial at
   // a time.
-  EXPECT_LE(most_in_any_span(b, trials_from, s.overload_time), 6u);
+  EXPECT_LE(max_sends_in_any_span(b, trials_from, s.overload_window), 6u);
   EXPECT_GE(b.sent.size(), trials_from + 2) << "its return must be noticed";
   std::size_t cold_from = b.sent.size();
   for (int i = 0; i < 12; ++i) {
@@ -429,23 +430,23 @@
     answer_all(Outcome::delivered, milliseconds(1));
   }
   EXPECT_GT(b.sent.size(), cold_from + 3);
-  EXPECT_LE(most_in_any_span(b, cold_from, s.overload_time), 12u + 8u);
+  EXPECT_LE(max_sends_in_any_span(b, cold_from, s.overload_window), 12u + 8u);
 }
 
 // A drain that is taken back, as by a health check: the endpoint may be cold, and gets the cold budget.
 TEST(ReturningDestination, AnEndpointBackFromADrainCountsAsCold) {
   const Settings s = settings();
   for (const bool drained : {false, true}) {
-    Bench b(s, {{1, 7, 0, 0, 100, Condition::ready}});
+    ForwarderHarness b(s, {{1, 7, 0, 0, 100, Condition::ready}});
     warm_up(b, 1, 20);
     if (drained) {
-      b.give(ListChanged{false, false, {{1, 7, 0, 0, 100, Condition::draining}}});
-      b.give(ListChanged{false, false, {{1, 7, 0, 0, 100, Condition::ready}}});
+      b.handle(ListChanged{false, false, {{1, 7, 0, 0, 100, Condition::draining}}});
+      b.handle(ListChanged{false, false, {{1, 7, 0, 0, 100, Condition::ready}}});
     }
     const std::size_t before = b.sent.size();
     for (MessageId id = 1000; id < 1300; ++id) {
-      b.message(id);
-      if (b.sends_of(id) > 0) b.outcome(id, Outcome::delivered);
+      b.submit(id);
+      if (b.send_count(id) > 0) b.outcome(id, Outcome::delivered);
       b.advance(milliseconds(10));
     }
     // In 3 s a destination of 100 calls a second takes some 300, and a cold one 2 x 0.2 to 0.44 x 100 x 3 s.
@@ -459,50 +460,50 @@
 }
 
 TEST(DestinationMemory, OneStrayErrorDoesNotCloseADestination) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 8);
-  b.message(1);
+  b.submit(1);
   b.outcome(1, Outcome::error);
-  for (MessageId id = 2; id <= 6; ++id) b.message(id);
-  EXPECT_EQ(b.sends_of(2) + b.sends_of(3) + b.sends_of(4) + b.sends_of(5) + b.sends_of(6), 5u);
+  for (MessageId id = 2; id <= 6; ++id) b.submit(id);
+  EXPECT_EQ(b.send_count(2) + b.send_count(3) + b.send_count(4) + b.send_count(5) + b.send_count(6), 5u);
 }
 
 TEST(Room, LeastPromisingMessageIsAnsweredNearTheHoldingLimit) {
   Settings s = settings();
   s.max_held = 20;
   s.can_cancel = false;
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
-  b.message(1);
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
+  b.submit(1);
   b.outcome(1, Outcome::connect_failed);
-  b.message(2);
+  b.submit(2);
   b.advance(seconds(2));
-  for (MessageId id = 3; id <= 40; ++id) b.message(id);  // for the failing destination 7
+  for (MessageId id = 3; id <= 40; ++id) b.submit(id);  // for the failing destination 7
   EXPECT_GT(b.refused.size(), 15u);
   std::size_t before = b.refused.size();
-  b.message(1000, seconds(30), 0, 0, 8);
-  EXPECT_EQ(b.sends_of(1000), 1u);
+  b.submit(1000, seconds(30), 0, 0, 8);
+  EXPECT_EQ(b.send_count(1000), 1u);
   for (std::size_t i = before; i < b.refused.size(); ++i) EXPECT_NE(b.refused[i].id, 1000u);
 }
 
 TEST(Slots, OverdueCallIsCalledOffWhenAllSlotsAreTakenAndAHealthyDestinationWaits) {
   Settings s = settings();
   s.slots = 2;
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready},
-              {2, 8, 0, 0, 50, Condition::ready},
-              {3, 9, 0, 0, 50, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready},
+                         {2, 8, 0, 0, 50, Condition::ready},
+                         {3, 9, 0, 0, 50, Condition::ready}});
   warm_up(b, 100, 4, 7);
   warm_up(b, 200, 4, 8);
   warm_up(b, 300, 4, 9);
-  b.message(1, seconds(30), 0, 0, 7);
-  b.message(2, seconds(30), 0, 0, 8);
-  b.message(3, seconds(30), 0, 0, 9);
-  EXPECT_EQ(b.sends_of(3), 0u);
+  b.submit(1, seconds(30), 0, 0, 7);
+  b.submit(2, seconds(30), 0, 0, 8);
+  b.submit(3, seconds(30), 0, 0, 9);
+  EXPECT_EQ(b.send_count(3), 0u);
   b.advance(milliseconds(200));
   EXPECT_TRUE(b.cancelled.empty()) << "not late yet";
   b.advance(seconds(3));
   ASSERT_EQ(b.cancelled.size(), 1u) << "one at a time";
   b.outcome(b.cancelled[0], Outcome::cancelled);
-  EXPECT_EQ(b.sends_of(3), 1u);
+  EXPECT_EQ(b.send_count(3), 1u);
 }
 
 TEST(Slots, GoToTheDestinationWithMoreWorthASecondOfSlot) {
@@ -511,48 +512,48 @@
   ClassSettings dear = s.classes[0];
   dear.worth = 5;
   s.classes.push_back(dear);
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
-  b.message(1, seconds(30), 0, 0, 7);
-  for (MessageId id = 2; id < 30; ++id) b.message(id, seconds(30), 0, 0, 7);
-  b.message(50, seconds(30), 1, 0, 8);
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
+  b.submit(1, seconds(30), 0, 0, 7);
+  for (MessageId id = 2; id < 30; ++id) b.submit(id, seconds(30), 0, 0, 7);
+  b.submit(50, seconds(30), 1, 0, 8);
   b.advance(seconds(6));
   b.outcome(1, Outcome::delivered);
   EXPECT_EQ(b.sent.back().first.id, 50u) << "not the first destination in the table";
 }
 
 TEST(DestinationMemory, UnsafeMessageWaitsAfterADoubtfulFailureForItsLastChance) {
-  Bench b(settings(Effect::unsafe));
+  ForwarderHarness b(settings(Effect::unsafe));
   warm_up(b, 100, 4);
-  b.message(1);
+  b.submit(1);
   b.outcome(1, Outcome::error);
   b.advance(milliseconds(50));
-  b.message(2);
+  b.submit(2);
   b.advance(seconds(20));
-  EXPECT_EQ(b.sends_of(2), 0u) << "an error would be final for it";
+  EXPECT_EQ(b.send_count(2), 0u) << "an error would be final for it";
   b.advance(seconds(10));
-  EXPECT_EQ(b.sends_of(2), 1u);
+  EXPECT_EQ(b.send_count(2), 1u);
 }
 
 // Guards the answer at once of all that wait where looking through them at every event is saved.
 TEST(Room, AllThatCannotBeSentInTheirTimeAreGivenUpWhenThatIsTold) {
-  Bench b(settings());
-  b.message(1);
-  for (MessageId id = 2; id < 20; ++id) b.message(id, id % 2 == 0 ? seconds(5) : seconds(30));
+  ForwarderHarness b(settings());
+  b.submit(1);
+  for (MessageId id = 2; id < 20; ++id) b.submit(id, id % 2 == 0 ? seconds(5) : seconds(30));
   b.outcome(1, Outcome::full, seconds(8));
   EXPECT_EQ(b.refused.size(), 9u);
   b.advance(seconds(40));
   EXPECT_GT(b.refused.size(), 9u);
 }
 
-bool logged_failing(const Bench& b) {
+bool logged_failing(const ForwarderHarness& b) {
   return std::any_of(b.logged.begin(), b.logged.end(),
                      [](const std::string& t) { return t.find("failing") != std::string::npos; });
 }
 
 // Refuses every call of a busy destination for so long; returns how many.
-std::size_t refuse_for(Bench& b, Time span, Time wait) {
+std::size_t refuse_calls_for(ForwarderHarness& b, Time span, Time wait) {
   std::size_t from = b.sent.size(), answered = from;
-  for (MessageId id = 1; id <= 20; ++id) b.message(id);
+  for (MessageId id = 1; id <= 20; ++id) b.submit(id);
   for (Time t = Time(0); t < span; t += milliseconds(50)) {
     b.advance(milliseconds(50));
     for (; answered < b.sent.size(); ++answered) b.outcome(b.sent[answered].first.id, Outcome::full, wait);
@@ -561,33 +562,33 @@
 }
 
 TEST(DestinationMemory, AThirdOfCallsResetIsNoOutage) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 4);
   for (MessageId id = 1; id <= 15; ++id) {
-    b.message(id);
+    b.submit(id);
     b.advance(milliseconds(100));
     b.outcome(id, id % 3 == 0 ? Outcome::reset : Outcome::delivered, Time(0), true);
     b.advance(milliseconds(200));
   }
-  EXPECT_EQ(b.sends_of(15), 1u);
+  EXPECT_EQ(b.send_count(15), 1u);
   EXPECT_FALSE(logged_failing(b));
 }
 
 TEST(DestinationMemory, BusyLimitIsNotTakenForAShutDestination) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 4);
-  EXPECT_GE(refuse_for(b, milliseconds(2500), Time(0)), 5u);
+  EXPECT_GE(refuse_calls_for(b, milliseconds(2500), Time(0)), 5u);
   EXPECT_FALSE(logged_failing(b));
 }
 
 // What the fleet lets no forwarder rest gets what a cold destination stands, and no more.
 TEST(Health, WhatMayNotRestIsBoundByTheColdBudgetAlone) {
   const auto sends = [](bool capped) {
-    Bench b(settings(), {{1, 7, 0, 0, 5, Condition::ready}});
-    if (capped) b.give(RestsCapped{{1}});
+    ForwarderHarness b(settings(), {{1, 7, 0, 0, 5, Condition::ready}});
+    if (capped) b.handle(BackoffCapped{{1}});
     for (MessageId id = 1; id <= 30; ++id) {
       const std::size_t before = b.sent.size();
-      b.message(id);
+      b.submit(id);
       for (Time waited{}; b.sent.size() == before && waited < seconds(3); waited += milliseconds(50))
         b.advance(milliseconds(50));
       if (b.sent.size() > before) b.outcome(b.sent.back().first.id, Outcome::connect_failed);
@@ -597,36 +598,36 @@
       for (const auto& [other, then] : b.sent) within += then >= at && then < at + seconds(3) ? 1 : 0;
       EXPECT_LE(within, 6u);  // 2 x a fifth of 5 calls a second, in 3 s
     }
-    const std::vector<Ailing> ailing = b.forwarder.ailing();
+    const std::vector<DegradedEndpoint> ailing = b.forwarder.degraded_endpoints();
     EXPECT_EQ(ailing.size(), 1u);
     if (!ailing.empty()) {
-      EXPECT_EQ(ailing[0].ail, Ail::failing);
-      EXPECT_GT(ailing[0].bad, 0.5);
+      EXPECT_EQ(ailing[0].kind, DegradationKind::failing);
+      EXPECT_GT(ailing[0].failure_share, 0.5);
     }
-    const Time span = b.last_send() - b.sent.front().second;
+    const Time span = b.last_send_time() - b.sent.front().second;
     return static_cast<double>(b.sent.size()) / std::chrono::duration<double>(span).count();
   };
   EXPECT_GT(sends(true), 2 * sends(false));
 }
 
 TEST(Health, TellsWhatIsColdAndWhatIsLowered) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 5);
-  EXPECT_TRUE(b.forwarder.ailing().empty());
-  b.message(1);
+  EXPECT_TRUE(b.forwarder.degraded_endpoints().empty());
+  b.submit(1);
   b.outcome(1, Outcome::connect_failed);
-  ASSERT_EQ(b.forwarder.ailing().size(), 1u);
+  ASSERT_EQ(b.forwarder.degraded_endpoints().size(), 1u);
   b.advance(seconds(5));
   b.outcome(1, Outcome::delivered);
-  ASSERT_EQ(b.forwarder.ailing().size(), 1u);
-  EXPECT_EQ(b.forwarder.ailing()[0].ail, Ail::cold);
+  ASSERT_EQ(b.forwarder.degraded_endpoints().size(), 1u);
+  EXPECT_EQ(b.forwarder.degraded_endpoints()[0].kind, DegradationKind::slow_start);
   b.advance(seconds(11));
-  b.message(2);
-  b.give(AttemptEnded{2, 0, 1, Outcome::delivered, true, {}, false, {true, 0.5, 20}, false, Time(-1)});
-  ASSERT_EQ(b.forwarder.ailing().size(), 1u);
-  EXPECT_EQ(b.forwarder.ailing()[0].ail, Ail::lowered);
-  b.give(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
-  EXPECT_TRUE(b.forwarder.ailing().empty());  // the list tells it
+  b.submit(2);
+  b.handle(AttemptEnded{2, 0, 1, Outcome::delivered, true, {}, false, {true, 0.5, 20}, false, Time(-1)});
+  ASSERT_EQ(b.forwarder.degraded_endpoints().size(), 1u);
+  EXPECT_EQ(b.forwarder.degraded_endpoints()[0].kind, DegradationKind::reduced_limit);
+  b.handle(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
+  EXPECT_TRUE(b.forwarder.degraded_endpoints().empty());  // the list tells it
 }
 
 // An endpoint that was replaced, while the list still names it, refuses connections: it rests alone, and what
@@ -634,25 +635,25 @@
 TEST(DestinationMemory, AnEndpointThatIsGoneRestsAlone) {
   Settings s = settings();
   s.forwarders = 100;
-  Bench b(s, {{1, 7, 0, 0, 200, Condition::ready}, {2, 7, 0, 0, 200, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 200, Condition::ready}, {2, 7, 0, 0, 200, Condition::ready}});
   std::set<EndpointId> used;
   for (MessageId id = 1; id <= 4; ++id) {
-    for (const MessageId both : {id, id + 100}) b.message(both);
+    for (const MessageId both : {id, id + 100}) b.submit(both);
     for (const MessageId both : {id, id + 100}) {
-      if (b.sends_of(both) == 1) b.outcome(both, Outcome::delivered);
+      if (b.send_count(both) == 1) b.outcome(both, Outcome::delivered);
     }
     b.advance(seconds(3));
     for (const auto& [s, at] : b.sent) used.insert(s.endpoint);
   }
   ASSERT_EQ(used.size(), 2u);
-  b.message(10);
+  b.submit(10);
   const EndpointId gone = b.sent.back().first.endpoint;
   b.outcome(10, Outcome::connect_failed);
   ASSERT_TRUE(logged_failing(b));
   const std::size_t before = b.sent.size();
   for (MessageId id = 11; id <= 14; ++id) {
-    b.message(id);
-    if (b.sends_of(id) == 1) b.outcome(id, Outcome::delivered);
+    b.submit(id);
+    if (b.send_count(id) == 1) b.outcome(id, Outcome::delivered);
     b.advance(milliseconds(700));
   }
   EXPECT_EQ(b.sent.size() - before, 5u) << "the four and the one that had failed";
@@ -660,28 +661,28 @@
 }
 
 TEST(DestinationMemory, LongRunOfRefusalsTellsAShutDestination) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 4);
-  refuse_for(b, seconds(6), Time(0));
+  refuse_calls_for(b, seconds(6), Time(0));
   EXPECT_TRUE(logged_failing(b));
 }
 
 TEST(DestinationMemory, WaitLongerThanAnyLimitsSpanTellsAShutDestination) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 100, 4);
-  refuse_for(b, milliseconds(200), seconds(8));
+  refuse_calls_for(b, milliseconds(200), seconds(8));
   EXPECT_TRUE(logged_failing(b));
 }
 
 TEST(ReturningDestination, SuccessesEarnBudgetAndARefusalTakesItBack) {
   Settings s = settings();
   s.forwarders = 6;
-  s.cold_time = seconds(60);
-  Bench b(s, {{1, 7, 0, 0, 12, Condition::ready}});
+  s.slow_start_time = seconds(60);
+  ForwarderHarness b(s, {{1, 7, 0, 0, 12, Condition::ready}});
   warm_up(b, 100, 6);
-  b.message(1);
+  b.submit(1);
   b.outcome(1, Outcome::connect_failed);
-  for (MessageId id = 2; id <= 60; ++id) b.message(id);
+  for (MessageId id = 2; id <= 60; ++id) b.submit(id);
   auto sends_in = [&](Time span, Outcome o) {
     std::size_t from = b.sent.size(), answered = from;
     for (Time t = Time(0); t < span; t += milliseconds(50)) {
@@ -706,22 +707,22 @@
   s.can_cancel = false;
   std::vector<EndpointEntry> list;
   for (std::uint32_t d = 1; d <= 6; ++d) list.push_back({d, d, 0, 0, 50, Condition::ready});
-  Bench b(s, list);
+  ForwarderHarness b(s, list);
   for (std::uint32_t d = 1; d <= 6; ++d) warm_up(b, 100 * d, 4, d);
-  for (std::uint32_t d = 1; d <= 5; ++d) b.message(d, seconds(30), 0, 0, d);
+  for (std::uint32_t d = 1; d <= 5; ++d) b.submit(d, seconds(30), 0, 0, d);
   b.advance(seconds(3));
   std::size_t before = b.sent.size();
-  for (std::uint32_t d = 1; d <= 5; ++d) b.message(10 + d, seconds(30), 0, 0, d);
+  for (std::uint32_t d = 1; d <= 5; ++d) b.submit(10 + d, seconds(30), 0, 0, d);
   EXPECT_EQ(b.sent.size(), before) << "five of eight slots are silent";
-  b.message(20, seconds(30), 0, 0, 6);
-  EXPECT_EQ(b.sends_of(20), 1u);
+  b.submit(20, seconds(30), 0, 0, 6);
+  EXPECT_EQ(b.send_count(20), 1u);
 }
 
 TEST(ReturningDestination, WithoutAListedRateGetsOneCallInOverloadTime) {
-  Bench b(settings(), {{1, 7, 0, 0, 0, Condition::ready}});
+  ForwarderHarness b(settings(), {{1, 7, 0, 0, 0, Condition::ready}});
   warm_up(b, 100, 4);
   std::size_t answered = b.sent.size(), from = answered;
-  for (MessageId id = 1; id <= 5; ++id) b.message(id);
+  for (MessageId id = 1; id <= 5; ++id) b.submit(id);
   for (int i = 0; i < 240; ++i) {
     b.advance(milliseconds(50));
     for (; answered < b.sent.size(); ++answered)
@@ -729,7 +730,7 @@
   }
   from += 5;  // those out when it went down
   EXPECT_GT(b.sent.size(), from + 1);
-  EXPECT_LE(most_in_any_span(b, from, settings().overload_time), 1u);
+  EXPECT_LE(max_sends_in_any_span(b, from, settings().overload_window), 1u);
 }
 
 TEST(Pace, BurstAfterAnIdleTimeIsHalfASecondOfTheRateOrAWholeOneWhereCallsAreShared) {
@@ -737,11 +738,11 @@
     Settings s = settings();
     s.slots = 40;
     s.max_held = 1000;
-    Bench b(s, {{1, 7, 0, kind, 10, Condition::ready}});
+    ForwarderHarness b(s, {{1, 7, 0, kind, 10, Condition::ready}});
     warm_up(b, 1000, 40);
     b.advance(seconds(5));
     std::size_t before = b.sent.size();
-    for (MessageId id = 1; id <= 200; ++id) b.message(id);
+    for (MessageId id = 1; id <= 200; ++id) b.submit(id);
     // 10 a second: 5 calls of one message, or 10 calls of up to five.
     EXPECT_EQ(b.sent.size() - before, kind == 0 ? 5u : 50u);
   }
@@ -749,10 +750,10 @@
 
 TEST(Pace, ARefusalSlowsADestinationAndDeliveriesBringItBack) {
   auto sent_after = [](int refusals) {
-    Bench b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
+    ForwarderHarness b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
     warm_up(b, 1000, 10);
     std::size_t answered = b.sent.size();
-    for (MessageId id = 1; id <= 90; ++id) b.message(id);
+    for (MessageId id = 1; id <= 90; ++id) b.submit(id);
     std::size_t from = 0;
     for (Time t = Time(0); t < Time(seconds(10)); t += milliseconds(50)) {
       b.advance(milliseconds(50));
@@ -770,15 +771,15 @@
 TEST(Batches, QueuedMessagesShareOneCallAndOneSlot) {
   Settings s = settings();
   s.slots = 2;
-  Bench b(s, {{1, 7, 0, 2, 50, Condition::ready}});
-  for (MessageId id = 1; id <= 5; ++id) b.message(id);
+  ForwarderHarness b(s, {{1, 7, 0, 2, 50, Condition::ready}});
+  for (MessageId id = 1; id <= 5; ++id) b.submit(id);
   EXPECT_EQ(b.sent.size(), 5u);
-  b.message(6);
-  EXPECT_EQ(b.sends_of(6), 0u) << "the call is full and the window is one";
+  b.submit(6);
+  EXPECT_EQ(b.send_count(6), 0u) << "the call is full and the window is one";
 }
 
 // --- Many forwarders at one destination
-Settings one_of_many() {
+Settings settings_of_one_among_many() {
   Settings s = settings();
   s.forwarders = 250;
   s.seed = 7;
@@ -789,7 +790,7 @@
 }
 
 // Answers each call at once with the outcome until the span is over; returns the times of the calls.
-std::vector<Time> calls_answered_with(Bench& b, Outcome outcome, Time span) {
+std::vector<Time> calls_answered_with(ForwarderHarness& b, Outcome outcome, Time span) {
   std::vector<Time> times;
   std::size_t answered = b.sent.size();
   for (Time t = Time(0); t < span; t += milliseconds(50)) {
@@ -804,12 +805,12 @@
 
 TEST(ManyForwarders, RefusalsSpreadTheTurnsOfAllMessagesOfADestination) {
   for (bool many : {true, false}) {
-    Settings s = one_of_many();
+    Settings s = settings_of_one_among_many();
     if (!many) s.forwarders = 1;
-    Bench b(s, small_destination());
+    ForwarderHarness b(s, small_destination());
     warm_up(b, 1000, 5);
     std::size_t from = b.sent.size();
-    for (MessageId id = 1; id <= 20; ++id) b.message(id);
+    for (MessageId id = 1; id <= 20; ++id) b.submit(id);
     while (b.sent.size() == from) b.advance(milliseconds(50));
     b.outcome(b.sent.back().first.id, Outcome::full);
     std::size_t calls = calls_answered_with(b, Outcome::full, seconds(20)).size();
@@ -825,13 +826,13 @@
   // 250 forwarders that have each seen the destination fail: 2 x 0.2 x 3 calls a second may reach it cold.
   std::size_t calls = 0;
   for (std::uint64_t seed = 1; seed <= 250; ++seed) {
-    Settings s = one_of_many();
+    Settings s = settings_of_one_among_many();
     s.seed = seed;
-    Bench b(s, small_destination());
-    b.message(1);
+    ForwarderHarness b(s, small_destination());
+    b.submit(1);
     b.outcome(1, Outcome::connect_failed);
     b.advance(seconds(10));
-    b.message(2);
+    b.submit(2);
     calls += calls_answered_with(b, Outcome::connect_failed, seconds(15)).size();
   }
   EXPECT_GT(calls, 250u / 4) << "the return must be noticed";
@@ -839,43 +840,43 @@
 }
 
 TEST(ManyForwarders, AFirstFailureWithoutFreshSuccessIsAnOutage) {
-  Bench b(one_of_many(), small_destination());
-  b.message(1);
+  ForwarderHarness b(settings_of_one_among_many(), small_destination());
+  b.submit(1);
   b.outcome(1, Outcome::error);
   b.advance(seconds(2));
-  EXPECT_EQ(b.sends_of(1), 1u);
+  EXPECT_EQ(b.send_count(1), 1u);
 }
 
 TEST(ManyForwarders, ARefusalBesideAReportThatLeavesRoomIsNoOutage) {
   for (double limit : {3.0, 0.0}) {  // an old report, or a destination without a limit
-    Settings s = one_of_many();
+    Settings s = settings_of_one_among_many();
     s.reports_allowance = true;
-    Bench b(s, small_destination());
-    b.message(1);
-    b.give(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, LoadReport{true, 0.9, limit}});
+    ForwarderHarness b(s, small_destination());
+    b.submit(1);
+    b.handle(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, LoadReport{true, 0.9, limit}});
     EXPECT_TRUE(b.logged.empty());
     b.advance(seconds(8));
-    EXPECT_EQ(b.sends_of(1), 2u) << "tried again by the linear wait and its turn";
+    EXPECT_EQ(b.send_count(1), 2u) << "tried again by the linear wait and its turn";
   }
 }
 
 TEST(ManyForwarders, OneResetIsNoOutageButThreeInARowAre) {
-  Bench b(one_of_many(), small_destination());
-  b.message(1);
+  ForwarderHarness b(settings_of_one_among_many(), small_destination());
+  b.submit(1);
   b.outcome(1, Outcome::reset);
   EXPECT_TRUE(b.logged.empty());
-  while (b.sends_of(1) < 3) {
+  while (b.send_count(1) < 3) {
     b.advance(milliseconds(100));
-    if (b.sends_of(1) == 2 && b.logged.empty()) b.outcome(1, Outcome::reset);
+    if (b.send_count(1) == 2 && b.logged.empty()) b.outcome(1, Outcome::reset);
     ASSERT_LT(b.now, seconds(1060));
-    if (b.sends_of(1) == 3) b.outcome(1, Outcome::reset);
+    if (b.send_count(1) == 3) b.outcome(1, Outcome::reset);
   }
   EXPECT_FALSE(b.logged.empty());
 }
 
 // --- Lists without rates
-Settings unlisted() {
-  Settings s = one_of_many();
+Settings unlisted_rate_settings() {
+  Settings s = settings_of_one_among_many();
   return s;
 }
 std::vector<EndpointEntry> unlisted_destination() { return {{1, 7, 0, 0, 0, Condition::ready}}; }
@@ -884,14 +885,14 @@
   for (double limit : {2.0, 0.0}) {
     Settings s = settings();
     s.reports_allowance = true;
-    Bench b(s, unlisted_destination());
-    for (MessageId id = 1; id <= 40; ++id) b.message(id);
+    ForwarderHarness b(s, unlisted_destination());
+    for (MessageId id = 1; id <= 40; ++id) b.submit(id);
     std::size_t answered = 0;
     for (int i = 0; i < 100; ++i) {
       for (; answered < b.sent.size(); ++answered) {
         const Send& call = b.sent[answered].first;
-        b.give(AttemptEnded{call.id, 0, 1, Outcome::delivered, true, Time(0), false,
-                            LoadReport{true, 0.5, limit}});
+        b.handle(AttemptEnded{call.id, 0, 1, Outcome::delivered, true, Time(0), false,
+                              LoadReport{true, 0.5, limit}});
       }
       b.advance(milliseconds(50));
     }
@@ -908,10 +909,10 @@
   // cold it may get 2 x 0.2 x 25 a second.
   std::size_t calls = 0;
   for (std::uint64_t seed = 1; seed <= 250; ++seed) {
-    Settings s = unlisted();
+    Settings s = unlisted_rate_settings();
     s.seed = seed;
-    Bench b(s, unlisted_destination());
-    b.message(1);
+    ForwarderHarness b(s, unlisted_destination());
+    b.submit(1);
     b.outcome(1, Outcome::connect_failed);
     calls += calls_answered_with(b, Outcome::connect_failed, seconds(10)).size();
   }
@@ -922,10 +923,10 @@
 TEST(NoListedRate, AForwarderWithMoreWaitingTriesMoreOften) {
   Time first[2];
   for (int many : {0, 1}) {
-    Bench b(unlisted(), unlisted_destination());
-    b.message(1);
+    ForwarderHarness b(unlisted_rate_settings(), unlisted_destination());
+    b.submit(1);
     b.outcome(1, Outcome::connect_failed);
-    for (MessageId id = 2; id <= (many ? 12u : 1u); ++id) b.message(id);
+    for (MessageId id = 2; id <= (many ? 12u : 1u); ++id) b.submit(id);
     const std::size_t before = b.sent.size();
     const Time from = b.now;
     while (b.sent.size() == before && b.now < from + seconds(60)) b.advance(milliseconds(20));
@@ -940,16 +941,16 @@
     for (double rate : {0.0, 3.0}) {
       std::size_t soon = 0, later = 0;
       for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        Settings s = unlisted();
+        Settings s = unlisted_rate_settings();
         s.seed = seed;
-        Bench b(s, {{1, 7, 0, 0, rate, Condition::ready}});
+        ForwarderHarness b(s, {{1, 7, 0, 0, rate, Condition::ready}});
         b.advance(seconds(20));
-        b.message(1);
+        b.submit(1);
         b.outcome(1, Outcome::full, wait);
         b.advance(milliseconds(2500));
-        soon += b.sends_of(1) - 1;
+        soon += b.send_count(1) - 1;
         b.advance(seconds(22));
-        later += b.sends_of(1) - 1;
+        later += b.send_count(1) - 1;
       }
       EXPECT_LT(soon, 80u);
       EXPECT_GT(later, 120u);
@@ -961,15 +962,15 @@
   // 200 forwarders that have just started, each refused its first message: no wave of tries again.
   std::size_t soon = 0, later = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    Settings s = unlisted();
+    Settings s = unlisted_rate_settings();
     s.seed = seed;
-    Bench b(s, unlisted_destination());
-    b.message(1);
+    ForwarderHarness b(s, unlisted_destination());
+    b.submit(1);
     b.outcome(1, Outcome::full);
     b.advance(seconds(5));
-    soon += b.sends_of(1) - 1;
+    soon += b.send_count(1) - 1;
     b.advance(seconds(23));
-    later += b.sends_of(1) - 1;
+    later += b.send_count(1) - 1;
   }
   EXPECT_LT(soon, 120u);
   EXPECT_GT(later, 150u);
@@ -977,12 +978,12 @@
 
 TEST(NoListedRate, ARefusedForwarderWithMuchTrafficTakesTurnsToo) {
   // One of 89, with a message every second: more than half a call a second, once the pace's threshold.
-  Settings s = unlisted();
+  Settings s = unlisted_rate_settings();
   s.forwarders = 89;
-  Bench b(s, unlisted_destination());
+  ForwarderHarness b(s, unlisted_destination());
   std::size_t answered = 0;
   for (MessageId id = 1; id <= 60; ++id) {
-    b.message(id);
+    b.submit(id);
     b.advance(seconds(1));
     for (; answered < b.sent.size(); ++answered) b.outcome(b.sent[answered].first.id, Outcome::full);
   }
@@ -994,10 +995,10 @@
   for (int refused : {0, 1}) {
     Settings s = settings();
     s.forwarders = 40;
-    Bench b(s, {{1, 7, 0, 0, 40, Condition::ready}});
+    ForwarderHarness b(s, {{1, 7, 0, 0, 40, Condition::ready}});
     std::size_t answered = 0;
     for (MessageId id = 1; id <= 400; ++id) {
-      b.message(id);
+      b.submit(id);
       b.advance(milliseconds(100));
       for (; answered < b.sent.size(); ++answered) {
         const bool bad = answered % 5 == 4;
@@ -1014,28 +1015,28 @@
 
 TEST(Slots, ADestinationFarSlowerThanOthersHoldsHalfOfThem) {
   Settings s = settings();
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   warm_up(b, 1000, 40);
   for (MessageId id = 1; id <= 8; ++id) {
-    b.message(id, seconds(30), 0, 0, 8);
+    b.submit(id, seconds(30), 0, 0, 8);
     b.advance(seconds(4));
     b.outcome(id, Outcome::delivered);
   }
-  for (MessageId id = 10; id <= 20; ++id) b.message(id, seconds(30), 0, 0, 8);
+  for (MessageId id = 10; id <= 20; ++id) b.submit(id, seconds(30), 0, 0, 8);
   std::size_t out = 0;
-  for (MessageId id = 10; id <= 20; ++id) out += b.sends_of(id);
+  for (MessageId id = 10; id <= 20; ++id) out += b.send_count(id);
   EXPECT_EQ(out, 4u);
 }
 
 TEST(Endpoints, EqualOnesAreChosenInAnotherOrderByEachForwarder) {
   std::size_t lowest = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Settings s = unlisted();
+    Settings s = unlisted_rate_settings();
     s.seed = seed;
-    Bench b(s, {{1, 7, 0, 0, 0, Condition::ready},
-                {2, 7, 0, 0, 0, Condition::ready},
-                {3, 7, 0, 0, 0, Condition::ready}});
-    b.message(1);
+    ForwarderHarness b(s, {{1, 7, 0, 0, 0, Condition::ready},
+                           {2, 7, 0, 0, 0, Condition::ready},
+                           {3, 7, 0, 0, 0, Condition::ready}});
+    b.submit(1);
     lowest += b.sent.at(0).first.endpoint == 1 ? 1 : 0;
   }
   EXPECT_GT(lowest, 5u);
@@ -1048,36 +1049,36 @@
     std::vector<EndpointEntry> list;
     for (EndpointId id = 1; id <= 200; ++id)
       list.push_back({id, id, 0, id <= 2 ? 0u : 1u, 0, Condition::ready});
-    Bench b(unlisted(), list);
+    ForwarderHarness b(unlisted_rate_settings(), list);
     b.advance(seconds(20));
-    b.message(1, seconds(30), 0, 0, 1);
+    b.submit(1, seconds(30), 0, 0, 1);
     b.outcome(1, Outcome::delivered);
-    EXPECT_TRUE(b.closed.empty());
+    EXPECT_TRUE(b.closed_idle.empty());
     const DestinationId other = kind == 0 ? 2 : 3;
-    b.message(2, seconds(30), 0, 0, other);
+    b.submit(2, seconds(30), 0, 0, other);
     b.outcome(2, Outcome::connect_failed);
     if (kind == 0) {
-      EXPECT_EQ(b.closed, std::vector<EndpointId>{1});
+      EXPECT_EQ(b.closed_idle, std::vector<EndpointId>{1});
     } else {
-      EXPECT_TRUE(b.closed.empty()) << "another kind";
+      EXPECT_TRUE(b.closed_idle.empty()) << "another kind";
     }
   }
 }
 
 TEST(Connections, AreKeptAfterAFailedConnectWhereTheyAreUsedAgain) {
-  Bench b(settings(), {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
+  ForwarderHarness b(settings(), {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   warm_up(b, 1000, 20);
-  b.message(1, seconds(30), 0, 0, 8);
+  b.submit(1, seconds(30), 0, 0, 8);
   b.outcome(1, Outcome::connect_failed);
-  EXPECT_TRUE(b.closed.empty());
+  EXPECT_TRUE(b.closed_idle.empty());
 }
 
 TEST(Module, EqualEventsGiveEqualActions) {
   auto play = [] {
-    Bench b(settings(), {{1, 7, 0, 0, 9, Condition::ready}, {2, 7, 0, 0, 9, Condition::ready}});
+    ForwarderHarness b(settings(), {{1, 7, 0, 0, 9, Condition::ready}, {2, 7, 0, 0, 9, Condition::ready}});
     std::size_t answered = 0;
     for (MessageId id = 1; id <= 60; ++id) {
-      b.message(id);
+      b.submit(id);
       b.advance(milliseconds(150));
       for (; answered < b.sent.size(); ++answered) {
         b.outcome(b.sent[answered].first.id, answered % 4 == 3 ? Outcome::error : Outcome::delivered);
@@ -1094,58 +1095,58 @@
 }
 
 // --- What the caller's connections showed
-void lose(Bench& b, MessageId id, Outcome o, Time idle) {
-  b.give(AttemptEnded{id, 0, 1, o, true, Time(0), false, {}, true, idle});
+void lose_connection(ForwarderHarness& b, MessageId id, Outcome o, Time idle) {
+  b.handle(AttemptEnded{id, 0, 1, o, true, Time(0), false, {}, true, idle});
 }
 
 TEST(BrokenConnections, KeptOnesAreNoOutageAndOneNewOneIsNone) {
   for (const Outcome o : {Outcome::reset, Outcome::connect_failed}) {
-    Bench b(settings());
+    ForwarderHarness b(settings());
     warm_up(b, 1, 8);
     for (MessageId id = 100; id < 112; ++id) {
-      b.message(id);
-      ASSERT_EQ(b.sends_of(id), 1u);  // at once: no rest, no window cut to nothing
-      lose(b, id, o, milliseconds(20));
+      b.submit(id);
+      ASSERT_EQ(b.send_count(id), 1u);  // at once: no rest, no window cut to nothing
+      lose_connection(b, id, o, milliseconds(20));
     }
     b.advance(seconds(30));
     EXPECT_TRUE(b.logged.empty());
-    b.message(200);
-    lose(b, 200, o, Time(0));
-    b.message(201);
-    EXPECT_EQ(b.sends_of(201), 1u);
+    b.submit(200);
+    lose_connection(b, 200, o, Time(0));
+    b.submit(201);
+    EXPECT_EQ(b.send_count(201), 1u);
   }
   // New ones that break one after the other are an outage all the same.
-  Bench b(settings());
+  ForwarderHarness b(settings());
   warm_up(b, 1, 8);
   for (MessageId id = 100; id < 110; ++id) {
-    b.message(id);
-    if (b.sends_of(id) == 1) lose(b, id, Outcome::reset, Time(0));
+    b.submit(id);
+    if (b.send_count(id) == 1) lose_connection(b, id, Outcome::reset, Time(0));
   }
   EXPECT_FALSE(b.logged.empty());
 }
 
 TEST(BrokenConnections, ThoseIdleForLongAreNotUsedWhereTheyLoseCalls) {
-  Bench b(settings());
+  ForwarderHarness b(settings());
   MessageId id = 1;
   const auto call = [&](Time idle, bool lost) {
-    b.message(++id);
+    b.submit(++id);
     b.advance(milliseconds(10));
     if (lost) {
-      lose(b, id, Outcome::reset, idle);
+      lose_connection(b, id, Outcome::reset, idle);
     } else {
-      b.give(AttemptEnded{id, 0, 1, Outcome::delivered, true, Time(0), false, {}, false, idle});
+      b.handle(AttemptEnded{id, 0, 1, Outcome::delivered, true, Time(0), false, {}, false, idle});
     }
     b.advance(seconds(3));
   };
   for (int i = 0; i < 20; ++i) call(milliseconds(i % 2 == 0 ? 10 : 60000), false);
-  EXPECT_EQ(b.sent.back().first.most_idle, Time::max());
+  EXPECT_EQ(b.sent.back().first.max_idle, Time::max());
   for (int i = 0; i < 20; ++i) call(milliseconds(i % 2 == 0 ? 10 : 450), i % 4 == 1);
-  b.message(++id);
-  EXPECT_LE(b.sent.back().first.most_idle, milliseconds(450));
-  EXPECT_GT(b.sent.back().first.most_idle, milliseconds(100));
+  b.submit(++id);
+  EXPECT_LE(b.sent.back().first.max_idle, milliseconds(450));
+  EXPECT_GT(b.sent.back().first.max_idle, milliseconds(100));
   b.advance(seconds(60));  // and again after a while
-  b.message(++id);
-  EXPECT_EQ(b.sent.back().first.most_idle, Time::max());
+  b.submit(++id);
+  EXPECT_EQ(b.sent.back().first.max_idle, Time::max());
 }
 
 // Guards against calls that are never answered, at endpoints that answer others, holding every slot for
@@ -1153,17 +1154,17 @@
 TEST(Slots, AreFreedSoonWhereOverdueCallsAreNeverAnswered) {
   Settings s = settings(Effect::unsafe);
   s.slots = 4;
-  Bench b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   warm_up(b, 1, 6, 7);
   warm_up(b, 11, 6, 8);
   MessageId id = 100;
   const auto send = [&](DestinationId destination) {
-    b.message(++id, seconds(30), 0, 0, destination);
+    b.submit(++id, seconds(30), 0, 0, destination);
     return id;
   };
   const auto answer = [&](MessageId message) {
     b.advance(milliseconds(30));
-    ASSERT_EQ(b.sends_of(message), 1u);
+    ASSERT_EQ(b.send_count(message), 1u);
     b.outcome(message, Outcome::delivered);
   };
   std::vector<Time> held;
@@ -1196,12 +1197,12 @@
 TEST(ConnectionLimit, IsNoLimitOnCalls) {
   Settings s = settings();
   s.slots = 16;
-  Bench b(s);
+  ForwarderHarness b(s);
   warm_up(b, 1, 6, 7);
   const std::size_t before = b.sent.size();
-  for (MessageId id = 100; id < 110; ++id) b.message(id);
+  for (MessageId id = 100; id < 110; ++id) b.submit(id);
   ASSERT_EQ(b.sent.size(), before + 7) << "the window";
-  b.give(AttemptEnded{106, 0, 1, Outcome::full, false, Time(0), false, {}, false, Time(0), true});
+  b.handle(AttemptEnded{106, 0, 1, Outcome::full, false, Time(0), false, {}, false, Time(0), true});
   b.advance(milliseconds(100));
   EXPECT_EQ(b.sent.size(), before + 7) << "six work, and there is room for no more";
   for (MessageId id = 100; id < 103; ++id) {
@@ -1213,7 +1214,7 @@
   EXPECT_EQ(b.sent.size(), before + 10);
   b.advance(milliseconds(200));
   EXPECT_EQ(b.sent.size(), before + 11) << "one more is tried";
-  EXPECT_EQ(b.sends_of(106), 2u) << "the refused one does not wait as after a refusal";
+  EXPECT_EQ(b.send_count(106), 2u) << "the refused one does not wait as after a refusal";
 }
 
 // Calls that go out while every tenth is refused, each on a connection that had stood idle for so long
@@ -1222,9 +1223,9 @@
   Settings s = settings();
   s.slots = 16;
   s.max_held = 1000;
-  Bench b(s, {{1, 7, 0, 0, 1000, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 0, 1000, Condition::ready}});
   warm_up(b, 1, 6, 7);
-  for (MessageId id = 100; id < 600; ++id) b.message(id);
+  for (MessageId id = 100; id < 600; ++id) b.submit(id);
   for (std::size_t next = b.sent.size() - 1, end = next + 300; next < std::min(end, b.sent.size()); ++next) {
     const MessageId id = b.sent[next].first.id;
     const Outcome outcome = next % 10 == 0 ? Outcome::full : Outcome::delivered;
@@ -1234,7 +1235,7 @@
     AttemptEnded ended{id,      attempt, 1,  outcome, outcome == Outcome::delivered,
                        Time(0), false,   {}, false,   idle};
     ended.connection_closed = ended.close_requested = close_requested;
-    b.give(ended);
+    b.handle(ended);
     b.advance(milliseconds(5));
   }
   return b.sent.size();
@@ -1261,22 +1262,22 @@
   Settings s = settings();
   s.forwarders = 100;
   s.slots = 6;
-  Bench b(s, {{1, 7, 0, 2, 300, Condition::ready},
-              {2, 8, 0, 2, 300, Condition::ready},
-              {3, 9, 0, 0, 300, Condition::ready}});
+  ForwarderHarness b(s, {{1, 7, 0, 2, 300, Condition::ready},
+                         {2, 8, 0, 2, 300, Condition::ready},
+                         {3, 9, 0, 0, 300, Condition::ready}});
   for (const DestinationId d : {7u, 8u, 9u}) warm_up(b, 10 * d, 6, d);
-  EXPECT_TRUE(b.closed.empty());
-  b.message(100);
-  b.give(AttemptEnded{100, 0, 1, Outcome::full, false, Time(0), false, {}, true, Time(0)});
-  EXPECT_EQ(b.closed, (std::vector<EndpointId>{2})) << "the other of its kind";
+  EXPECT_TRUE(b.closed_idle.empty());
+  b.submit(100);
+  b.handle(AttemptEnded{100, 0, 1, Outcome::full, false, Time(0), false, {}, true, Time(0)});
+  EXPECT_EQ(b.closed_idle, (std::vector<EndpointId>{2})) << "the other of its kind";
   EXPECT_TRUE(b.logged.empty());
   b.advance(milliseconds(900));
-  EXPECT_EQ(b.sends_of(100), 2u) << "tried again soon";
+  EXPECT_EQ(b.send_count(100), 2u) << "tried again soon";
   b.outcome(100, Outcome::delivered);
-  EXPECT_EQ(b.closed, (std::vector<EndpointId>{2, 1})) << "not kept";
-  b.message(101, seconds(30), 0, 0, 9);
+  EXPECT_EQ(b.closed_idle, (std::vector<EndpointId>{2, 1})) << "not kept";
+  b.submit(101, seconds(30), 0, 0, 9);
   b.outcome(101, Outcome::delivered);
-  EXPECT_EQ(b.closed.size(), 2u) << "another kind";
+  EXPECT_EQ(b.closed_idle.size(), 2u) << "another kind";
 }
 
 // Fifty who found no place in one moment come back spread over time, or they would find none again.
@@ -1286,12 +1287,12 @@
     Settings s = settings();
     s.forwarders = 100;
     s.seed = seed;
-    Bench b(s, {{1, 7, 0, 0, 300, Condition::ready}});
-    b.message(1);
-    b.give(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, {}, true, Time(0)});
+    ForwarderHarness b(s, {{1, 7, 0, 0, 300, Condition::ready}});
+    b.submit(1);
+    b.handle(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, {}, true, Time(0)});
     b.advance(seconds(3));
-    ASSERT_EQ(b.sends_of(1), 2u);
-    ++tries[b.last_send() / 100'000 * 100'000];
+    ASSERT_EQ(b.send_count(1), 2u);
+    ++tries[b.last_send_time() / 100'000 * 100'000];
   }
   for (const auto& [at, count] : tries) EXPECT_LE(count, 15) << at.count();
 }
@@ -1299,9 +1300,9 @@
 // A message that is over before its call, or a call held back, uses nothing of the destination's limit up:
 // the next one goes at once, where the pace would have had it wait.
 TEST(Pace, ACallThatWasNotSentGivesItsPartBack) {
-  Bench b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
+  ForwarderHarness b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
   warm_up(b, 1, 6, 7);
-  for (MessageId id = 100; id < 106; ++id) b.message(id);
+  for (MessageId id = 100; id < 106; ++id) b.submit(id);
   const std::size_t burst = b.sent.size();
   ASSERT_LT(burst, 6u + 6u) << "the pace holds some back";
   b.outcome(100, Outcome::not_sent, Time(0), true);
@@ -1317,11 +1318,11 @@
 TEST(ConnectionLimit, OverdueCallsMakeWayWhileMessagesWait) {
   Settings s = settings();
   s.slots = 100;
-  Bench b(s);
+  ForwarderHarness b(s);
   warm_up(b, 1, 6, 7);
-  for (MessageId id = 100; id < 130; ++id) b.message(id);
-  ASSERT_EQ(b.sends_of(106), 1u);
-  b.give(AttemptEnded{106, 0, 1, Outcome::full, false, Time(0), false, {}, false, Time(0), true});
+  for (MessageId id = 100; id < 130; ++id) b.submit(id);
+  ASSERT_EQ(b.send_count(106), 1u);
+  b.handle(AttemptEnded{106, 0, 1, Outcome::full, false, Time(0), false, {}, false, Time(0), true});
   b.advance(seconds(5));
   EXPECT_FALSE(b.cancelled.empty());
 }
@@ -1340,10 +1341,10 @@
     s.classes.push_back(s.classes[0]);
     s.classes[1].effect = Effect::unsafe;
     s.classes[0].sequential = seed % 2 == 0;
-    Bench one(s, {{1, 7, 0, 0, 40, Condition::ready},
-                  {2, 7, 0, 0, 40, Condition::ready},
-                  {3, 8, 0, 2, 0, Condition::ready}});
-    std::optional<Bench> other;
+    ForwarderHarness one(s, {{1, 7, 0, 0, 40, Condition::ready},
+                             {2, 7, 0, 0, 40, Condition::ready},
+                             {3, 8, 0, 2, 0, Condition::ready}});
+    std::optional<ForwarderHarness> other;
     const auto both = [&](const auto& what) {
       what(one);
       if (other) what(*other);
@@ -1354,7 +1355,7 @@
     std::size_t noted = 0;
     for (unsigned step = 0; step < 400; ++step) {
       if (step >= 40 && step % 5 == 0) {  // loaded anew, again and again
-        other = Bench(one);
+        other = ForwarderHarness(one);
         other->forwarder = Forwarder::load(s, one.forwarder.save());
       }
       const unsigned kind = random() % 10;
@@ -1363,7 +1364,7 @@
         const std::uint32_t message_class = random() % 2;
         const DestinationId destination = 7 + random() % 2;
         const std::uint64_t key = random() % 5;
-        both([&](Bench& b) { b.message(id, seconds(20), message_class, key, destination); });
+        both([&](ForwarderHarness& b) { b.submit(id, seconds(20), message_class, key, destination); });
       } else if (kind < 8 && !out.empty()) {
         const std::size_t i = random() % out.size();
         const auto [id, attempt] = out[i];
@@ -1374,29 +1375,29 @@
         const Time wait =
             outcome == Outcome::full && random() % 2 == 0 ? milliseconds(random() % 4000) : Time(0);
         const EndpointId endpoint = at.at({id, attempt});
-        both([&, id = id, attempt = attempt](Bench& b) {
-          b.give(AttemptEnded{id,
-                              attempt,
-                              endpoint,
-                              outcome,
-                              outcome == Outcome::delivered,
-                              wait,
-                              false,
-                              {},
-                              false,
-                              Time(0)});
+        both([&, id = id, attempt = attempt](ForwarderHarness& b) {
+          b.handle(AttemptEnded{id,
+                                attempt,
+                                endpoint,
+                                outcome,
+                                outcome == Outcome::delivered,
+                                wait,
+                                false,
+                                {},
+                                false,
+                                Time(0)});
         });
       } else if (kind == 8) {
         const EndpointId id = 1 + random() % 3;
         const Condition condition = random() % 3 == 0 ? Condition::draining : Condition::ready;
         const DestinationId destination = id == 3 ? 8 : 7;
-        both([&](Bench& b) {
-          b.give(ListChanged{
+        both([&](ForwarderHarness& b) {
+          b.handle(ListChanged{
               false, false, {{id, destination, 0, id == 3 ? 2u : 0u, id == 3 ? 0.0 : 40.0, condition}}});
         });
       } else {
         const Time span = milliseconds(random() % 800);
-        both([&](Bench& b) { b.advance(span); });
+        both([&](ForwarderHarness& b) { b.advance(span); });
       }
       for (; noted < one.sent.size(); ++noted) {
         const Send& send = one.sent[noted].first;
@@ -1415,9 +1416,9 @@
       ASSERT_EQ(one.timers, other->timers) << seed << " " << step;
       ASSERT_EQ(one.failed, other->failed);
       ASSERT_EQ(one.cancelled, other->cancelled);
-      ASSERT_EQ(one.closed, other->closed);
+      ASSERT_EQ(one.closed_idle, other->closed_idle);
       ASSERT_EQ(one.refused.size(), other->refused.size());
-      ASSERT_EQ(one.forwarder.records(), other->forwarder.records());
+      ASSERT_EQ(one.forwarder.record_count(), other->forwarder.record_count());
     }
   }
   EXPECT_EQ(compared, 60u * 360u);
@@ -1425,38 +1426,38 @@
 
 TEST(Memory, RefusesWhatItCannotRead) {
   const Settings s = settings();
-  Bench b(s);
-  b.message(1);
+  ForwarderHarness b(s);
+  b.submit(1);
   const std::string bytes = b.forwarder.save();
   for (std::size_t size = 0; size < bytes.size(); ++size) {
-    EXPECT_THROW(Forwarder::load(s, std::string_view(bytes).substr(0, size)), MemoryError) << size;
+    EXPECT_THROW(Forwarder::load(s, std::string_view(bytes).substr(0, size)), SnapshotError) << size;
   }
   std::string other = bytes;
   other[0] = static_cast<char>(other[0] + 1);  // its version
-  EXPECT_THROW(Forwarder::load(s, other), MemoryError);
-  Bench c(s);
-  c.give(MessageArrived{1, 0, 0, 7, 0, seconds(9)});
+  EXPECT_THROW(Forwarder::load(s, other), SnapshotError);
+  ForwarderHarness c(s);
+  c.handle(MessageArrived{1, 0, 0, 7, 0, seconds(9)});
   Settings fewer = s;
   fewer.classes.clear();
-  EXPECT_THROW(Forwarder::load(fewer, c.forwarder.save()), MemoryError);
+  EXPECT_THROW(Forwarder::load(fewer, c.forwarder.save()), SnapshotError);
 }
 
 TEST(LongLife, ForgetsWhatIsOver) {
   Settings s = settings();
   s.classes[0].sequential = true;
-  Bench b(s);
+  ForwarderHarness b(s);
   for (EndpointId id = 2; id < 4000; ++id) {
-    b.message(id, seconds(30), 0, id);
-    b.give(ListChanged{id % 2 == 0, false, {{id, 7, 0, 0, 50, Condition::ready}}});
-    if (id % 2 == 1) b.give(ListChanged{false, false, {{id - 1, 7, 0, 0, 50, Condition::gone}}});
+    b.submit(id, seconds(30), 0, id);
+    b.handle(ListChanged{id % 2 == 0, false, {{id, 7, 0, 0, 50, Condition::ready}}});
+    if (id % 2 == 1) b.handle(ListChanged{false, false, {{id - 1, 7, 0, 0, 50, Condition::gone}}});
     b.advance(milliseconds(100));
     const std::vector<std::pair<Send, Time>> out = std::exchange(b.sent, {});
     for (const auto& [sent, at] : out) {
-      b.give(AttemptEnded{
+      b.handle(AttemptEnded{
           sent.id, 0, sent.endpoint, Outcome::delivered, true, Time(0), false, {}, false, Time(-1)});
     }
     b.advance(milliseconds(100));
-    ASSERT_LE(b.forwarder.records(), 60u) << id;
+    ASSERT_LE(b.forwarder.record_count(), 60u) << id;
   }
 }
 
--- a/tests/readme_example_test.cpp
+++ b/tests/readme_example_test.cpp
@@ -23,8 +23,8 @@
   std::vector<Action> actions;
   Time now = seconds(1);
   forwarder.start(now, actions);
-  forwarder.handle(
-      now, ListChanged{.whole = true, .entries = {{.endpoint = 1, .destination = 7, .rate = 25}}}, actions);
+  forwarder.handle(now, ListChanged{.full = true, .entries = {{.endpoint = 1, .destination = 7, .rate = 25}}},
+                   actions);
   forwarder.handle(now, MessageArrived{.id = 42, .destination = 7, .time_left = seconds(20)}, actions);
   std::erase_if(actions, [](const Action& a) { return !std::holds_alternative<Send>(a); });
   return actions;  // one Send of message 42 to endpoint 1
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -124,13 +124,13 @@
     contents.entries = {
         note(10, Kind::began, 0, 0, {1}),
         note(10, Kind::asked, 3, 0, {0, 7, 5000}),
-        note(10, Kind::answered, 3, 202, {static_cast<std::uint32_t>(AdmissionOutcome::taken), 10, 1}),
+        note(10, Kind::answered, 3, 202, {static_cast<std::uint32_t>(AdmissionOutcome::accepted), 10, 1}),
         note(10, Kind::call, 1, 0, {4, 1000}),
         note(10, Kind::call_ended, 1, code(Outcome::connect_failed), {0, 0, 0}),
         note(11, Kind::call, 1, 1, {4, 1000}),
         note(11, Kind::call_ended, 1, code(last), {1, 0, 0}),
         note(12, Kind::call, 99, 0, {4, 1000}),  // its message is not in the record
-        note(12, Kind::given_up, 1, 0, {static_cast<std::uint32_t>(starlinghook::GiveUpReason::time), 0}),
+        note(12, Kind::given_up, 1, 0, {static_cast<std::uint32_t>(starlinghook::GiveUpReason::deadline), 0}),
     };
     fleet.add(contents);
   }
@@ -227,7 +227,7 @@
   t::Server breaks([&](const t::Request&) { return t::kReset; });
   t::Platform platform(
       {{"s-1", good.address(), 7}, {"s-2", full.address(), 8}, {"s-3", breaks.address(), 9}});
-  t::Program relay(platform.address());
+  t::RelayProgram relay(platform.address());
   relay.replace_settings("(record (kib 256))");
   relay.start();
   EXPECT_EQ(relay.ask(t::request_text("fine")), 202u);
