--- a/tests/reducer_test.cpp
+++ b/tests/reducer_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "net_fixture.hpp"
-#include "retry_pause.hpp"
+#include "retry_backoff.hpp"
 
 namespace fennellane {
 namespace {
@@ -38,9 +38,9 @@
   void list(const std::vector<test::HostLine>& hosts, bool full = true) {
     give(ClusterChanged{parse_hosts(test::list_json(hosts, 1, full), config.boot), false});
   }
-  Offered offer(const std::string& id, std::uint32_t message_class = kNote) const {
-    Offered o;
-    o.reply = 77;
+  MessageSubmitted offer(const std::string& id, std::uint32_t message_class = kNote) const {
+    MessageSubmitted o;
+    o.request = 77;
     o.id = id;
     o.message_class = message_class;
     o.destination = 7;
@@ -58,7 +58,7 @@
     while (timer <= until) {
       now = std::max(now, timer);
       timer = Time::max();
-      give(TimerDue{});
+      give(TimerExpired{});
       all.insert(all.end(), effects.begin(), effects.end());
     }
     now = until;
@@ -102,11 +102,11 @@
 // Guards the promise: nothing is answered before it is in the journal, nothing is sent before the attempt is.
 TEST_F(ReducerTest, JournalsThenAnswersThenSends) {
   give(offer("a"));
-  EXPECT_LT(place<RecordTaken>(), place<Answer>());
-  EXPECT_LT(place<Answer>(), place<RecordAttempt>());
+  EXPECT_LT(place<RecordAccepted>(), place<SendAnswer>());
+  EXPECT_LT(place<SendAnswer>(), place<RecordAttempt>());
   EXPECT_LT(place<RecordAttempt>(), place<StartCall>());
-  EXPECT_EQ(the<Answer>().with, Reply::taken);
-  EXPECT_EQ(the<Answer>().reply, 77u);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+  EXPECT_EQ(the<SendAnswer>().request, 77u);
   EXPECT_EQ(call.id, "a");
   EXPECT_EQ(call.address.text(), "127.0.0.1:9");
 }
@@ -126,23 +126,23 @@
 TEST_F(ReducerTest, AnswersARepeatedIdWithoutTakingItOnAgain) {
   for (int i = 0; i < 2; ++i) {
     give(offer("a"));
-    EXPECT_EQ(the<Answer>().with, Reply::taken);
-    EXPECT_EQ(count<RecordTaken>(), i == 0 ? 1u : 0u);
+    EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+    EXPECT_EQ(count<RecordAccepted>(), i == 0 ? 1u : 0u);
   }
   end_call(Outcome::delivered);
   give(offer("a"));
   EXPECT_EQ(effects.size(), 1u);
-  EXPECT_EQ(the<Answer>().with, Reply::taken);
-  EXPECT_EQ(counters.repeated, 2u);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+  EXPECT_EQ(counters.duplicates, 2u);
 }
 
 TEST_F(ReducerTest, RefusesWhatTheJournalHasNoRoomFor) {
-  Offered o = offer("a");
+  MessageSubmitted o = offer("a");
   o.journal_has_room = false;
   give(o);
-  EXPECT_EQ(the<Answer>().with, Reply::refused);
-  EXPECT_EQ(the<Answer>().again, Time(0));  // these settings allow no advice
-  EXPECT_EQ(count<RecordTaken>(), 0u);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::refused);
+  EXPECT_EQ(the<SendAnswer>().retry_after, Time(0));  // these settings allow no advice
+  EXPECT_EQ(count<RecordAccepted>(), 0u);
 }
 
 TEST_F(SmallReducerTest, HoldsNoMoreThanItsRoom) {
@@ -150,10 +150,10 @@
   std::size_t refused = 0;
   for (int i = 0; i < 20; ++i) {
     give(offer(std::to_string(i)));
-    refused += the<Answer>().with == Reply::refused ? 1 : 0;
+    refused += the<SendAnswer>().reply == AdmissionReply::refused ? 1 : 0;
   }
   EXPECT_GT(refused + counters.deferred, 16u);
-  EXPECT_LE(reducer.streams(), config.limits.unnoticed);
+  EXPECT_LE(reducer.streams(), config.limits.max_held_and_unnoticed);
 }
 
 // Guards the rule on duplicates: one that may have run is not sent again where its class forbids it.
@@ -189,7 +189,7 @@
   end_call(Outcome::error);
   EXPECT_EQ(count<RecordEnded>(), 0u);
   EXPECT_EQ(reducer.streams(), 1u);
-  give(NoticeTaken{the<PostNotice>().stream});
+  give(NoticeAccepted{the<PostNotice>().stream});
   EXPECT_EQ(count<RecordEnded>(), 1u);
   EXPECT_EQ(reducer.streams(), 0u);
 }
@@ -233,8 +233,8 @@
   give(offer("c"));
   ASSERT_NE(call.stream, first.stream);
   end_call(Outcome::full, seconds(1));
-  ASSERT_EQ(count<HoldBack>(), 1u);
-  EXPECT_EQ(the<HoldBack>().stream, first.stream);
+  ASSERT_EQ(count<CancelUnsentCall>(), 1u);
+  EXPECT_EQ(the<CancelUnsentCall>().stream, first.stream);
   call = first;
   end_call(Outcome::not_sent);
   pass(milliseconds(900));
@@ -242,7 +242,7 @@
   pass(seconds(3));
   EXPECT_GE(count<StartCall>(), 1u);
   list({});
-  EXPECT_GE(count<HoldBack>(), 1u);  // gone
+  EXPECT_GE(count<CancelUnsentCall>(), 1u);  // gone
 }
 
 // Guards the memory of a long day: hosts come and go under new ids, some at the address of one that has gone,
@@ -263,13 +263,13 @@
     }
     now += milliseconds(80);
     pass(milliseconds(20));
-    most = std::max(most, reducer.records());
+    most = std::max(most, reducer.record_count());
     if (i == 10000) early = most;
   }
   EXPECT_EQ(counters.delivered, 20000u);
   EXPECT_EQ(most, early);  // no growth in the second half
   EXPECT_LE(reducer.hosts(), 3u);
-  EXPECT_LE(most, 2 * config.limits.remembered_ids + 64);
+  EXPECT_LE(most, 2 * config.limits.max_ended_ids + 64);
 }
 
 // A hundred that failed in one moment: their next tries are spread, and grow apart until there is room for
@@ -277,17 +277,17 @@
 TEST(RetryPause, SpreadsThoseWhoFailedTogether) {
   std::map<Time::rep, int> per_second;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    RetryPause pause(std::chrono::milliseconds(500), std::chrono::seconds(8), seed);
+    RetryBackoff pause(std::chrono::milliseconds(500), std::chrono::seconds(8), seed);
     Time at{};
     while (at < std::chrono::seconds(60)) {
-      const Time next = pause.next();
+      const Time next = pause.next_delay();
       ASSERT_GE(next, std::chrono::milliseconds(250));
       ASSERT_LE(next, std::chrono::seconds(12));
       at += next;
       ++per_second[at / std::chrono::seconds(1)];
     }
     pause.reset();
-    EXPECT_LE(pause.next(), std::chrono::milliseconds(750));
+    EXPECT_LE(pause.next_delay(), std::chrono::milliseconds(750));
   }
   for (Time::rep s = 10; s < 60; ++s) EXPECT_LE(per_second[s], 30) << "in second " << s;
 }
@@ -309,28 +309,28 @@
 // Guards against holding to its deadline what can never be delivered; until discovery has told its list, a
 // client may only be too early.
 TEST_F(ReducerTest, TurnsAwayADestinationThatDoesNotExist) {
-  Offered o = offer("a");
+  MessageSubmitted o = offer("a");
   o.destination = 999;
   give(o);
-  EXPECT_EQ(the<Answer>().with, Reply::unknown);
-  EXPECT_EQ(count<RecordTaken>(), 0u);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::unknown_destination);
+  EXPECT_EQ(count<RecordAccepted>(), 0u);
   list({{"s-9", "127.0.0.1:9", 999}}, false);
   list({{"s-9", "127.0.0.1:9", 999, "gone"}}, false);
   give(offer("b"));
   o.id = "c";
   give(o);
-  EXPECT_EQ(the<Answer>().with, Reply::taken);  // it did exist, and may again
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);  // it did exist, and may again
   Counters fresh_counters;
   Reducer fresh(config.boot.settings, config.limits, 1, fresh_counters);
   fresh.reduce(now, Started{});
   fresh.reduce(now,
                ClusterChanged{parse_hosts(test::list_json({{"s-1", "127.0.0.1:9"}}), config.boot), true});
   effects = fresh.reduce(now, o);
-  EXPECT_EQ(the<Answer>().with, Reply::refused);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::refused);
 }
 
 TEST_F(ReducerTest, EndsARestoredMessageOfAClassThatIsNoMore) {
-  Restored r;
+  MessageRestored r;
   r.stream = 5;
   r.entry.id = "a";
   r.entry.message_class = 9;
@@ -352,13 +352,13 @@
 
 TEST_P(RestartTest, GoesOnAsTheRecordsAllow) {
   const RestartCase& c = GetParam();
-  Restored r;
+  MessageRestored r;
   r.stream = 5;
   r.entry.id = "a";
   r.entry.message_class = c.message_class;
   r.entry.destination = 7;
   r.entry.attempts = c.attempts;
-  r.entry.out = c.out;
+  r.entry.in_flight = c.out;
   r.entry.may_have_run = c.may_have_run;
   r.entry.verdict = c.verdict;
   r.time_left = seconds(10);
@@ -369,7 +369,7 @@
   if (c.notice) {
     EXPECT_EQ(the<PostNotice>().verdict, *c.notice);
   }
-  EXPECT_EQ(count<RecordTaken>(), 0u);
+  EXPECT_EQ(count<RecordAccepted>(), 0u);
   if (c.verdict) {
     EXPECT_EQ(count<RecordGivenUp>(), 0u);
   }
@@ -389,7 +389,7 @@
                                 Verdict::undeliverable}));
 
 TEST_F(ReducerTest, EndsARestoredMessageWhoseTimeIsUp) {
-  Restored r;
+  MessageRestored r;
   r.stream = 5;
   r.entry.id = "a";
   r.entry.destination = 7;
@@ -409,8 +409,8 @@
     EXPECT_EQ(count<RecordEnded>(), in_time ? 1u : 0u) << before.count();
     if (in_time) continue;
     EXPECT_EQ(the<PostNotice>().verdict, Verdict::undeliverable);
-    EXPECT_EQ(the<RecordGivenUp>().why, starlinghook::GiveUpReason::answered_late);
-    give(NoticeTaken{call.stream});
+    EXPECT_EQ(the<RecordGivenUp>().reason, starlinghook::GiveUpReason::answered_late);
+    give(NoticeAccepted{call.stream});
     EXPECT_EQ(count<RecordEnded>(), 1u);
   }
   EXPECT_EQ(counters.delivered, 1u);
@@ -419,7 +419,7 @@
 
 // All that a restart finds is known before the first is sent, so that the one worth most goes first.
 TEST_F(SmallReducerTest, SendsTheRestoredMessageThatIsWorthMostFirst) {
-  Restored r;
+  MessageRestored r;
   r.entry.destination = 7;
   r.time_left = seconds(10);
   r.more_follow = true;
@@ -430,16 +430,16 @@
     give(r);
     EXPECT_EQ(count<StartCall>(), 0u);
   }
-  give(TimerDue{});
+  give(TimerExpired{});
   ASSERT_EQ(count<StartCall>(), 1u);  // the window begins at one call
   EXPECT_EQ(the<StartCall>().id, "m1");
 }
 
 // Guards against a call that the end of the process would cut off, whose effect nobody would know.
 TEST_F(ReducerTest, StartsNoUnsafeCallThatMayOutlastTheEnd) {
-  give(StopAsked{now + milliseconds(900)});
+  give(StopRequested{now + milliseconds(900)});
   give(offer("p", kPay));
-  EXPECT_EQ(the<Answer>().with, Reply::taken);
+  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
   EXPECT_EQ(count<StartCall>(), 0u);
   give(offer("a", kNote));
   EXPECT_EQ(count<StartCall>(), 1u);
@@ -452,30 +452,34 @@
       return std::to_string(stream) + " " + more;
     }
     static std::string us(Time t) { return std::to_string(t.count()); }
-    std::string operator()(const RecordTaken& e) const { return of(e.stream, e.entry.id + us(e.time_left)); }
+    std::string operator()(const RecordAccepted& e) const {
+      return of(e.stream, e.entry.id + us(e.time_left));
+    }
     std::string operator()(const RecordAttempt& e) const { return of(e.stream, std::to_string(e.zone)); }
     std::string operator()(const RecordOutcome& e) const {
       return of(e.stream, e.may_have_run ? "doubt" : "");
     }
     std::string operator()(const RecordGivenUp& e) const {
-      return of(e.stream, std::to_string(static_cast<int>(e.verdict)) + us(e.again));
+      return of(e.stream, std::to_string(static_cast<int>(e.verdict)) + us(e.retry_after));
     }
     std::string operator()(const RecordEnded& e) const { return of(e.stream); }
-    std::string operator()(const Answer& e) const {
-      return of(e.reply, std::to_string(static_cast<int>(e.with)) + us(e.again));
+    std::string operator()(const SendAnswer& e) const {
+      return of(e.request, std::to_string(static_cast<int>(e.reply)) + us(e.retry_after));
     }
     std::string operator()(const StartCall& e) const {
       return of(e.stream, std::to_string(e.attempt) + " " + std::to_string(e.host) + " " + e.address.text() +
-                              " " + e.id + *e.body + us(e.timeout) + " " + us(e.most_idle));
+                              " " + e.id + *e.body + us(e.timeout) + " " + us(e.max_idle));
     }
     std::string operator()(const CancelCall& e) const { return of(e.stream, std::to_string(e.attempt)); }
-    std::string operator()(const HoldBack& e) const { return of(e.stream, std::to_string(e.attempt)); }
-    std::string operator()(const CloseIdle& e) const { return of(e.host); }
+    std::string operator()(const CancelUnsentCall& e) const {
+      return of(e.stream, std::to_string(e.attempt));
+    }
+    std::string operator()(const CloseIdleConnections& e) const { return of(e.host); }
     std::string operator()(const RetireHost& e) const { return of(e.host); }
-    std::string operator()(const PostNotice& e) const { return of(e.stream, e.id + us(e.again)); }
+    std::string operator()(const PostNotice& e) const { return of(e.stream, e.id + us(e.retry_after)); }
     std::string operator()(const SetTimer& e) const { return us(e.at); }
-    std::string operator()(const Say& e) const { return e.text; }
-    std::string operator()(const FleetDo& e) const { return std::to_string(e.effect.index()); }
+    std::string operator()(const LogMessage& e) const { return e.text; }
+    std::string operator()(const FleetEffect& e) const { return std::to_string(e.effect.index()); }
   };
   return std::to_string(effect.index()) + " " + std::visit(Text{}, effect);
 }
@@ -506,7 +510,7 @@
           wrong = text_of(first[i]) + " is not " + text_of(second[i]);
         }
         if (const auto* t = std::get_if<SetTimer>(&first[i])) timer = t->at;
-        if (const auto* r = std::get_if<RecordTaken>(&first[i])) bodies[r->stream] = r->entry.body;
+        if (const auto* r = std::get_if<RecordAccepted>(&first[i])) bodies[r->stream] = r->entry.body;
         if (const auto* c = std::get_if<StartCall>(&first[i])) out.push_back(*c);
         if (const auto* n = std::get_if<PostNotice>(&first[i])) notices.push_back(n->stream);
       }
@@ -521,12 +525,12 @@
       if (step >= 30 && step % 5 == 0) {
         other = std::make_unique<Reducer>(config.boot.settings, config.limits, 1, others);
         other->load(config.boot.settings, one.save(), [&](StreamId id) { return bodies[id]; });
-        ASSERT_EQ(other->records(), one.records());
+        ASSERT_EQ(other->record_count(), one.record_count());
       }
       const unsigned kind = random() % 10;
       if (kind < 4) {
-        Offered o;
-        o.reply = static_cast<ReplyTo>(step);
+        MessageSubmitted o;
+        o.request = static_cast<RequestHandle>(step);
         o.id = "m" + std::to_string(random() % 200);
         o.message_class = random() % 2;
         o.destination = 7 + random() % 3;
@@ -546,13 +550,13 @@
       } else if (kind == 8 && !notices.empty()) {
         const StreamId stream = notices.front();
         notices.erase(notices.begin());
-        give(NoticeTaken{stream});
+        give(NoticeAccepted{stream});
       } else {
         for (const Time until = now + milliseconds(random() % 500); now < until;) {
           now = std::min(until, std::max(now + Time(1), timer));
           if (now < timer) continue;
           timer = Time::max();
-          give(TimerDue{});
+          give(TimerExpired{});
         }
       }
     }
@@ -571,7 +575,7 @@
     Reducer other(config.boot.settings, config.limits, 1, counters);
     EXPECT_THROW(other.load(config.boot.settings, std::string_view(bytes).substr(0, size),
                             [](StreamId) { return Body(); }),
-                 starlinghook::MemoryError)
+                 starlinghook::SnapshotError)
         << size;
   }
 }
--- a/tests/refresh_test.cpp
+++ b/tests/refresh_test.cpp
@@ -9,8 +9,8 @@
 #include "consul_agent.hpp"
 #include "fault_proxy.hpp"
 #include "fleet_agent.hpp"
+#include "merged_host_list.hpp"
 #include "relay_fixture.hpp"
-#include "whole_list.hpp"
 
 namespace fennellane {
 namespace {
@@ -27,67 +27,69 @@
   return nullptr;
 }
 
-BeatSeen beat(Token token, std::uint64_t number, std::uint64_t version, const std::string& source = "d") {
+HeartbeatRead beat(Token token, std::uint64_t number, std::uint64_t version,
+                   const std::string& source = "d") {
   return {SharedHead{token, number, version, source}, false};
 }
-ListSeen list(Token token, std::uint64_t version) {
+SharedListRead list(Token token, std::uint64_t version) {
   return {true, {token, 1, version, "d"}, "v" + std::to_string(version)};
 }
 
 // One that follows the list of the holder with token 3, at version 7.
 Refresh follower() {
   Refresh r({}, 1);
-  r.handle(seconds(0), RefreshBegin{"d", std::nullopt, false});
-  EXPECT_NE(find<ReadList>(r.handle(seconds(0), beat(3, 10, 7))), nullptr);
+  r.handle(seconds(0), RefreshStarted{"d", std::nullopt, false});
+  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(0), beat(3, 10, 7))), nullptr);
   const auto first = r.handle(seconds(0), list(3, 7));
-  EXPECT_TRUE(find<TakeList>(first) && find<TakeList>(first)->cached);  // nobody knows how old it is
+  EXPECT_TRUE(find<ApplyList>(first) && find<ApplyList>(first)->cached);  // nobody knows how old it is
   const auto second = r.handle(seconds(1), beat(3, 11, 7));
-  EXPECT_TRUE(find<TakeList>(second) && !find<TakeList>(second)->cached);
-  EXPECT_TRUE(r.follows());
+  EXPECT_TRUE(find<ApplyList>(second) && !find<ApplyList>(second)->cached);
+  EXPECT_TRUE(r.follows_shared_list());
   return r;
 }
 
 TEST(Refresh, FollowsWhileBeatsComeAndWatchesDiscoveryItselfWhenTheyEnd) {
   Refresh r = follower();
-  EXPECT_EQ(find<StartOwn>(r.handle(seconds(5), RefreshDue{})), nullptr);
-  const auto due = r.handle(seconds(8), RefreshDue{});  // 1 s + 4.5 s + at most 2 s
-  ASSERT_NE(find<StartOwn>(due), nullptr);
-  EXPECT_EQ(find<StartOwn>(due)->known, 7u);  // the list is not asked for as a whole
+  EXPECT_EQ(find<StartDiscoveryWatch>(r.handle(seconds(5), RefreshTimerExpired{})), nullptr);
+  const auto due = r.handle(seconds(8), RefreshTimerExpired{});  // 1 s + 4.5 s + at most 2 s
+  ASSERT_NE(find<StartDiscoveryWatch>(due), nullptr);
+  EXPECT_EQ(find<StartDiscoveryWatch>(due)->from_version, 7u);  // the list is not asked for as a whole
   // Back, once the shared list is as new as what discovery has told meanwhile.
-  r.handle(seconds(9), OwnList{9, "v9"});
-  EXPECT_EQ(find<StopOwn>(r.handle(seconds(9), beat(4, 1, 8))), nullptr);
-  EXPECT_NE(find<StopOwn>(r.handle(seconds(10), beat(4, 2, 9))), nullptr);
+  r.handle(seconds(9), DiscoveredList{9, "v9"});
+  EXPECT_EQ(find<StopDiscoveryWatch>(r.handle(seconds(9), beat(4, 1, 8))), nullptr);
+  EXPECT_NE(find<StopDiscoveryWatch>(r.handle(seconds(10), beat(4, 2, 9))), nullptr);
 }
 
 TEST(Refresh, TakesNothingOfAnOldHolderOrOfAnotherDiscovery) {
   Refresh r = follower();
-  EXPECT_EQ(find<ReadList>(r.handle(seconds(2), beat(2, 99, 30))), nullptr);
-  EXPECT_EQ(find<ReadList>(r.handle(seconds(2), beat(5, 1, 30, "e"))), nullptr);
-  EXPECT_NE(find<ReadList>(r.handle(seconds(2), beat(5, 1, 30))), nullptr);
-  EXPECT_EQ(find<TakeList>(r.handle(seconds(2), list(4, 31))), nullptr);  // written before, read after
+  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), beat(2, 99, 30))), nullptr);
+  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), beat(5, 1, 30, "e"))), nullptr);
+  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(2), beat(5, 1, 30))), nullptr);
+  EXPECT_EQ(find<ApplyList>(r.handle(seconds(2), list(4, 31))), nullptr);  // written before, read after
 }
 
 TEST(Refresh, AHolderSharesOnlyWhatItHearsItself) {
   Refresh r = follower();
-  const auto acts = r.acts(seconds(2), 4, "s");
-  EXPECT_NE(find<StartOwn>(acts), nullptr);
+  const auto acts = r.activate(seconds(2), 4, "s");
+  EXPECT_NE(find<StartDiscoveryWatch>(acts), nullptr);
   EXPECT_EQ(find<Publish>(acts), nullptr);
-  const auto heard = r.handle(seconds(2), OwnHeard{});
+  const auto heard = r.handle(seconds(2), DiscoveryAnswered{});
   ASSERT_NE(find<Publish>(heard), nullptr);
   EXPECT_EQ(find<Publish>(heard)->text, "v7");
   EXPECT_EQ(find<Publish>(heard)->session, "s");
-  r.handle(seconds(2), Published{4, Published::How::taken});
-  const auto next = r.handle(seconds(4), RefreshDue{});
+  r.handle(seconds(2), Published{4, Published::Result::accepted});
+  const auto next = r.handle(seconds(4), RefreshTimerExpired{});
   ASSERT_NE(find<Publish>(next), nullptr);
   EXPECT_FALSE(find<Publish>(next)->text);  // a beat alone
-  r.handle(seconds(4), Published{4, Published::How::failed});
-  const auto again = r.handle(seconds(6), RefreshDue{});
+  r.handle(seconds(4), Published{4, Published::Result::unknown});
+  const auto again = r.handle(seconds(6), RefreshTimerExpired{});
   ASSERT_NE(find<Publish>(again), nullptr);
   EXPECT_TRUE(find<Publish>(again)->text);  // what may not have come is sent once more
-  r.handle(seconds(6), Published{4, Published::How::taken});
-  EXPECT_EQ(find<Publish>(r.handle(seconds(8), RefreshDue{})), nullptr);  // discovery is silent: no beat
-  EXPECT_EQ(find<StepDown>(r.handle(seconds(12), RefreshDue{})), nullptr);
-  EXPECT_NE(find<StepDown>(r.handle(seconds(22), RefreshDue{})), nullptr);
+  r.handle(seconds(6), Published{4, Published::Result::accepted});
+  EXPECT_EQ(find<Publish>(r.handle(seconds(8), RefreshTimerExpired{})),
+            nullptr);  // discovery is silent: no beat
+  EXPECT_EQ(find<StepDown>(r.handle(seconds(12), RefreshTimerExpired{})), nullptr);
+  EXPECT_NE(find<StepDown>(r.handle(seconds(22), RefreshTimerExpired{})), nullptr);
 }
 
 // Five relays, a store that fences, a discovery whose list grows, and holders that change, pause and lose
@@ -114,28 +116,28 @@
         [&](std::size_t i, std::vector<RefreshEffect> effects) {
           Relay& r = relays[i];
           for (const RefreshEffect& e : effects) {
-            if (const auto* start = std::get_if<StartOwn>(&e)) {
+            if (const auto* start = std::get_if<StartDiscoveryWatch>(&e)) {
               r.own = true;
-              r.own_version = start->known.value_or(0);
-            } else if (std::holds_alternative<StopOwn>(e)) {
+              r.own_version = start->from_version.value_or(0);
+            } else if (std::holds_alternative<StopDiscoveryWatch>(e)) {
               r.own = false;
             } else if (const auto* p = std::get_if<Publish>(&e)) {
               const bool held = i == holder && p->head.token == token;
               if (!r.reached) {
-                carry(i, r.refresh.handle(now, Published{p->head.token, Published::How::failed}));
+                carry(i, r.refresh.handle(now, Published{p->head.token, Published::Result::unknown}));
                 continue;
               }
               if (held) {
                 stored_beat = p->head;
                 if (p->text) stored_list = p->head;
               }
-              carry(i, r.refresh.handle(now, Published{p->head.token, held ? Published::How::taken
-                                                                           : Published::How::refused}));
-            } else if (std::holds_alternative<ReadList>(e)) {
-              ListSeen seen{r.reached && stored_list.token > 0, stored_list,
-                            "v" + std::to_string(stored_list.version)};
+              carry(i, r.refresh.handle(now, Published{p->head.token, held ? Published::Result::accepted
+                                                                           : Published::Result::refused}));
+            } else if (std::holds_alternative<ReadSharedList>(e)) {
+              SharedListRead seen{r.reached && stored_list.token > 0, stored_list,
+                                  "v" + std::to_string(stored_list.version)};
               carry(i, r.refresh.handle(now, seen));
-            } else if (const auto* take = std::get_if<TakeList>(&e)) {
+            } else if (const auto* take = std::get_if<ApplyList>(&e)) {
               const std::uint64_t taken = std::stoull(take->text.substr(1));
               ASSERT_GE(taken, r.version) << "seed " << seed;
               r.version = taken;
@@ -143,15 +145,15 @@
           }
         };
     for (std::size_t i = 0; i < 5; ++i)
-      carry(i, relays[i].refresh.handle(now, RefreshBegin{"d", std::nullopt, false}));
+      carry(i, relays[i].refresh.handle(now, RefreshStarted{"d", std::nullopt, false}));
     constexpr int kSteps = 1200, kCalm = 600;  // of 100 ms; nothing fails in the last minute
     for (int step = 0; step < kSteps; ++step, now += milliseconds(100)) {
       const bool calm = step >= kCalm;
       if (one_in(20)) ++version;
       if (one_in(100) && !calm) {
-        if (holder < 5) carry(holder, relays[holder].refresh.stops(now));
+        if (holder < 5) carry(holder, relays[holder].refresh.deactivate(now));
         holder = std::uniform_int_distribution<std::size_t>(0, 4)(random);
-        carry(holder, relays[holder].refresh.acts(now, ++token, "s"));
+        carry(holder, relays[holder].refresh.activate(now, ++token, "s"));
       }
       for (std::size_t i = 0; i < 5; ++i) {
         Relay& r = relays[i];
@@ -161,24 +163,25 @@
           r.reached = !r.reached;
         if (r.own && r.reached) {
           r.touch = now;
-          carry(i, r.refresh.handle(now, OwnHeard{}));
+          carry(i, r.refresh.handle(now, DiscoveryAnswered{}));
           if (r.own && r.own_version < version) {
             r.own_version = version;
             ASSERT_GE(version, r.version);
             r.version = version;
-            carry(i, r.refresh.handle(now, OwnList{version, "v" + std::to_string(version)}));
+            carry(i, r.refresh.handle(now, DiscoveredList{version, "v" + std::to_string(version)}));
           }
         }
         if (r.reached) {
-          BeatSeen seen;
-          if (stored_beat.token > 0) seen.beat = stored_beat;
+          HeartbeatRead seen;
+          if (stored_beat.token > 0) seen.head = stored_beat;
           carry(i, r.refresh.handle(now, seen));
-          if (r.refresh.follows() && stored_beat.version == r.version) r.touch = now;
+          if (r.refresh.follows_shared_list() && stored_beat.version == r.version) r.touch = now;
         }
-        carry(i, r.refresh.handle(now, RefreshDue{}));
+        carry(i, r.refresh.handle(now, RefreshTimerExpired{}));
         // Whoever has heard neither discovery nor the store watches discovery itself.
         const bool out_of_touch =
-            r.touch > Time(0) && now - r.touch > settings.stale + settings.spread + milliseconds(200);
+            r.touch > Time(0) &&
+            now - r.touch > settings.stale_after + settings.fallback_spread + milliseconds(200);
         ASSERT_TRUE(!out_of_touch || r.own) << "seed " << seed << " relay " << i << " step " << step;
       }
     }
@@ -194,19 +197,19 @@
 }
 
 TEST(WholeList, IsWhatTheChangesHaveMadeOfIt) {
-  const wire::BootInfo boot = parse_config(test::config_json()).boot;
-  WholeList whole;
-  whole.take(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}}, 4, false), boot));
-  EXPECT_FALSE(whole.known());
-  whole.take(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}}, 5), boot));
-  whole.take(parse_hosts(
+  const wire::InstanceSettings boot = parse_config(test::config_json()).boot;
+  MergedHostList whole;
+  whole.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}}, 4, false), boot));
+  EXPECT_FALSE(whole.has_full_list());
+  whole.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}}, 5), boot));
+  whole.apply(parse_hosts(
       test::list_json({{"a", "127.0.0.1:1", 7, "gone"}, {"b", "127.0.0.1:3", 9, "draining", 12.5}}, 6, false),
       boot));
-  EXPECT_TRUE(whole.known());
+  EXPECT_TRUE(whole.has_full_list());
   // As text and back.
-  const HostList read = parse_hosts(hosts_json(whole.whole(), boot), boot);
+  const HostList read = parse_hosts(hosts_json(whole.full_list(), boot), boot);
   EXPECT_EQ(read.version, 6u);
-  EXPECT_TRUE(read.whole);
+  EXPECT_TRUE(read.full);
   ASSERT_EQ(read.hosts.size(), 1u);
   EXPECT_EQ(read.hosts[0].id, "b");
   EXPECT_EQ(read.hosts[0].address.text(), "127.0.0.1:3");
@@ -220,17 +223,17 @@
 
 TEST(SharedList, IsReadOnlyAsItIsWritten) {
   Publish publish{"s", {4, 2, 7, "d"}, "{\"a\":1}"};
-  const auto txn = json_of(share_json("r", "l", "b", publish));
+  const auto txn = parse_json_text(publish_transaction_json("r", "l", "b", publish));
   ASSERT_TRUE(txn && txn->size() == 3);
   EXPECT_EQ((*txn)[0]["KV"]["Verb"].asString(), "check-session");
   SharedHead head;
   std::string text;
-  EXPECT_TRUE(read_shared(standin::bytes_of_base64((*txn)[2]["KV"]["Value"].asString()), head, text));
+  EXPECT_TRUE(parse_shared_list(standin::bytes_of_base64((*txn)[2]["KV"]["Value"].asString()), head, text));
   EXPECT_EQ(head, publish.head);
   EXPECT_EQ(text, *publish.text);
   for (const char* bad :
        {"", "[]", "{}", R"({"token":-1,"beat":1,"version":1})", R"({"token":1,"version":{}})"})
-    EXPECT_FALSE(read_shared(bad, head, text)) << bad;
+    EXPECT_FALSE(parse_shared_list(bad, head, text)) << bad;
 }
 
 // --- Several relays
@@ -316,7 +319,7 @@
     for (std::size_t i = 0; i < kRelays; ++i) {
       paths.push_back(
           std::make_unique<harness::FaultProxy>(loop, "127.0.0.1", "127.0.0.1", discovery.address()));
-      relays.push_back(std::make_unique<test::Program>(paths.back()->address()));
+      relays.push_back(std::make_unique<test::RelayProgram>(paths.back()->address()));
       relays.back()->replace_settings(
           "(consul (address \"" + consul.address() +
           "\"))\n(fleet (roles \"refresh\") (ttl-ms 1500) (renew-ms 300) (margin-ms 200) (lock-delay-ms 800) "
@@ -369,7 +372,7 @@
   standin::ConsulAgent consul{quick_rules()};
   harness::ProxyLoop loop;
   std::vector<std::unique_ptr<harness::FaultProxy>> paths;
-  std::vector<std::unique_ptr<test::Program>> relays;
+  std::vector<std::unique_ptr<test::RelayProgram>> relays;
   int next_ = 100;
 };
 
--- a/tests/relay_fixture.hpp
+++ b/tests/relay_fixture.hpp
@@ -42,9 +42,9 @@
 }
 
 // The program, configured as beside the platform.
-class Program : public standin::RelayProcess {
+class RelayProgram : public standin::RelayProcess {
  public:
-  explicit Program(const std::string& discovery, ConfigParts parts = {})
+  explicit RelayProgram(const std::string& discovery, ConfigParts parts = {})
       : RelayProcess(FENNELLANE_PROGRAM), parts_(std::move(parts)) {
     parts_.listen = address();
     parts_.discovery = discovery;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -12,13 +12,13 @@
   RelayToOneHost() { relay.start(); }
   Server host{[](const Request&) { return answer("200 OK"); }};
   Platform platform{{{"s-1", host.address()}}};
-  Program relay{platform.address()};
+  RelayProgram relay{platform.address()};
 };
 
 TEST(Relay, DeliversWhatItTakes) {
   Server host([](const Request&) { return answer("200 OK", "fine", "X-Load-Report: x0=0.4,x1=25\r\n"); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   const std::string body("\0any bytes\r\n\r\n\xff", 15);
   EXPECT_EQ(relay.ask(request_text("a1", body)), 202u);
@@ -46,7 +46,7 @@
   EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Le"), 408u);
   for (unsigned seed = 0; seed < 100; ++seed) {
     std::mt19937 random(seed);
-    relay.ask(garbage(request_text("a" + std::to_string(seed)), random), true);
+    relay.ask(corrupted_copy(request_text("a" + std::to_string(seed)), random), true);
   }
   EXPECT_EQ(relay.ask(request_text("good")), 202u);
   EXPECT_TRUE(happens([&] { return host.count("good") == 1; }));
@@ -60,7 +60,7 @@
   std::atomic<bool> refuses = true;
   Server host([&](const Request&) { return refuses ? answer("503 Full") : answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   std::string text = request_text("note1");
   text.replace(text.find("Content-Length"), 0, "Idempotency-Key: 5c0f6e1a2b3d4c59\r\n");
@@ -82,7 +82,7 @@
     return silent ? answer("429 Wait", "", "X-Come-Back-Ms: 12000\r\n") : answer("200 OK");
   });
   Platform platform({{"s-1", host.address(), 7}, {"s-2", host.address(), 8}, {"s-3", other.address(), 9}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   EXPECT_EQ(relay.ask(request_text("note1")), 202u);
   EXPECT_EQ(relay.ask(request_text("pay1", "x", "pay", 8)), 202u);
@@ -149,7 +149,7 @@
   Platform platform({{"s-1", host.address()}});
   ConfigParts parts;
   parts.sockets = 240;
-  Program relay(platform.address(), parts);
+  RelayProgram relay(platform.address(), parts);
   relay.start();
   constexpr int kClients = 150, kThird = 80;
   asio::io_context io;
@@ -220,7 +220,7 @@
 TEST(Relay, OutlivesALineOfDiscoveryThatCannotBeRead) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}}, "{\"version\":\n");
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   EXPECT_TRUE(happens([&] { return platform.watches() >= 3; }));
   EXPECT_EQ(relay.ask(request_text("a1")), 202u);
@@ -234,7 +234,7 @@
     return ++calls == 1 ? "SMTP ready\r\n\r\n" : calls == 2 ? answer("302 Found") : answer("200 OK");
   });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   EXPECT_EQ(relay.ask(request_text("a1")), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a1") == 3; })) << relay.log();
@@ -249,7 +249,7 @@
   auto old_platform = std::make_unique<Platform>(std::vector<HostLine>{{"s-1", first.address()}});
   Platform next({{"s-2", second.address()}, {"s-3", failing.address(), 8}}),
       last({{"s-4", second.address(), 7}, {"s-5", failing.address(), 8}});
-  Program relay(old_platform->address());
+  RelayProgram relay(old_platform->address());
   relay.start();
   EXPECT_EQ(relay.ask(request_text("held")), 202u);
   ASSERT_TRUE(happens([&] { return first.count("held") >= 1; }));
@@ -322,7 +322,7 @@
     hosts.push_back({"s-" + id, host.address(), destinations[id]});
   }
   Platform platform(hosts);
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (const auto& [id, text] : delivered) {
     EXPECT_EQ(relay.ask(request_text(id, "x", "pay")), 202u);
@@ -352,7 +352,7 @@
     return r.id.starts_with("twice") ? answer("200 OK") + answer("200 OK") : answer("500 Bad");
   });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(relay.ask(request_text("twice" + std::to_string(i))), 202u);
@@ -372,7 +372,7 @@
   Platform platform({{"s-1", host.address()}});
   ConfigParts small;
   small.sockets = 64;
-  Program relay(platform.address(), small);
+  RelayProgram relay(platform.address(), small);
   relay.start();
   const auto begin = std::chrono::steady_clock::now();
   EXPECT_EQ(relay.ask(""), 0u);
@@ -394,7 +394,8 @@
 }
 
 // How long a usual client waits behind so many connections on each of which a text was sent, and which stay.
-std::chrono::steady_clock::duration time_behind(const Program& relay, int count, const std::string& text) {
+std::chrono::steady_clock::duration answer_time_behind(const RelayProgram& relay, int count,
+                                                       const std::string& text) {
   asio::io_context io;
   std::vector<tcp::socket> staying;
   for (int i = 0; i < count; ++i) {
@@ -414,9 +415,9 @@
   small.sockets = 64;
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address(), small);
+  RelayProgram relay(platform.address(), small);
   relay.start();
-  EXPECT_LT(time_behind(relay, 300, "POST /note HTTP/1.1\r\nX-Call"), seconds(15));
+  EXPECT_LT(answer_time_behind(relay, 300, "POST /note HTTP/1.1\r\nX-Call"), seconds(15));
 }
 
 // Guards usual clients against a flood of those who ask once and stay: while places are that short, none
@@ -426,10 +427,10 @@
   small.sockets = 64;
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address(), small);
+  RelayProgram relay(platform.address(), small);
   relay.start();
   // All at once, 15 times as many as there are places for: half a minute where each keeps its place for 2 s.
-  EXPECT_LT(time_behind(relay, 300, request_text("stays")), seconds(15));
+  EXPECT_LT(answer_time_behind(relay, 300, request_text("stays")), seconds(15));
 }
 
 // Guards against holding and sending what its client has given up while it waited to be read.
@@ -464,7 +465,7 @@
 TEST(Relay, TakesAKeptConnectionThatBreaksForNoOutage) {
   Server host([&](const Request& r) { return r.nth > 1 ? kReset : answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < 12; ++i) {
     EXPECT_EQ(relay.ask(request_text("m" + std::to_string(i))), 202u);
@@ -483,7 +484,7 @@
       [](const Request&) { return answer("503 Service Unavailable", "", "Connection: close\r\n"); });
   ConfigParts parts;
   parts.known = {{"s-1", host.address()}};
-  Program relay(discovery.address(), parts);
+  RelayProgram relay(discovery.address(), parts);
   relay.start();
   EXPECT_EQ(relay.ask(request_text("m1")), 202u);
   EXPECT_TRUE(happens([&] { return host.count("m1") == 1; })) << relay.log();
@@ -502,7 +503,7 @@
     return ++asked <= 2 ? answer("503 Service Unavailable", "", "Connection: close\r\n") : answer("200 OK");
   });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   EXPECT_EQ(relay.ask(request_text("m1")), 202u);
   ASSERT_TRUE(happens([&] { return relay.counter("delivered") == 1; })) << relay.log();
--- a/tests/release_test.cpp
+++ b/tests/release_test.cpp
@@ -75,7 +75,7 @@
 
 TEST(Release, GoesToTheStoreAndBack) {
   State s = rolling(1);
-  s.why = "\"quoted\"";
+  s.reason = "\"quoted\"";
   s.base = {1, 2, 3, 4, 5};
   s.auto_back = false;
   EXPECT_EQ(read_state(state_json(s)), s);
@@ -87,30 +87,30 @@
 }
 
 TEST(Release, OrdersFitThePhase) {
-  ReleaseOrder start;
-  start.what = ReleaseOrder::What::start;
+  ReleaseRequest start;
+  start.action = ReleaseRequest::Action::start;
   start.from = "a";
   start.to = "b";
   start.steps = {"100%"};
-  const auto trouble_of = [](const std::optional<State>& before, const ReleaseOrder& order) {
+  const auto trouble_of = [](const std::optional<State>& before, const ReleaseRequest& order) {
     std::string trouble;
-    ordered(before, order, "x", trouble);
+    next_state(before, order, "x", trouble);
     return trouble;
   };
   EXPECT_EQ(trouble_of(std::nullopt, start), "");
   EXPECT_EQ(trouble_of(rolling(), start), "release b-1 is under way (rolling)");
   start.to = "a";
   EXPECT_NE(trouble_of(std::nullopt, start), "");
-  ReleaseOrder order;
-  order.what = ReleaseOrder::What::resume;
+  ReleaseRequest order;
+  order.action = ReleaseRequest::Action::resume;
   EXPECT_EQ(trouble_of(rolling(), order), "release b-1 is rolling");
-  order.what = ReleaseOrder::What::back;
+  order.action = ReleaseRequest::Action::back;
   State over = rolling();
   over.phase = Phase::done;
   EXPECT_EQ(trouble_of(over, order), "");  // one that is done can still be taken back
   over.phase = Phase::returned;
   EXPECT_NE(trouble_of(over, order), "");
-  order.what = ReleaseOrder::What::halt;
+  order.action = ReleaseRequest::Action::halt;
   EXPECT_EQ(trouble_of(std::nullopt, order), "there has been no release");
 }
 
@@ -123,7 +123,7 @@
   const auto effects = mover.handle(seconds(0), StateSeen{rolling(), 1});
   EXPECT_NE(find<AskSlot>(effects), nullptr);
   EXPECT_NE(find<SetReportTimer>(effects), nullptr);
-  const auto report = mover.handle(seconds(1), ReportDue{{1, 2, 3, 4, 5}, "1 of 1 are out"});
+  const auto report = mover.handle(seconds(1), ReportTimerExpired{{1, 2, 3, 4, 5}, "1 of 1 are out"});
   ASSERT_NE(find<WriteReport>(report), nullptr);
   EXPECT_EQ(find<WriteReport>(report)->report.build, "a");
   EXPECT_EQ(find<WriteReport>(report)->report.waits, "1 of 1 are out");
@@ -148,7 +148,7 @@
   EXPECT_NE(find<LeaveSlot>(failed), nullptr);
   EXPECT_EQ(find<AskSlot>(failed), nullptr);
   EXPECT_EQ(find<AskSlot>(mover.handle(seconds(3), StateSeen{rolling(1), 2})), nullptr);
-  const auto report = mover.handle(seconds(3), ReportDue{});
+  const auto report = mover.handle(seconds(3), ReportTimerExpired{});
   EXPECT_EQ(find<WriteReport>(report)->report.trouble, "it crashed");
   State halted = rolling();
   halted.phase = Phase::halted;
@@ -158,7 +158,7 @@
 
 TEST_F(MoverTest, IsSilentWhereThereIsNoRelease) {
   EXPECT_TRUE(mover.handle(seconds(0), StateSeen{std::nullopt, 1}).empty());
-  EXPECT_TRUE(mover.handle(seconds(1), ReportDue{}).empty());
+  EXPECT_TRUE(mover.handle(seconds(1), ReportTimerExpired{}).empty());
 }
 
 // A coordinator of four relays whose reports are given by hand. Every look brings the next beat of each.
@@ -168,7 +168,7 @@
     CoordinatorSettings s;
     s.gather = seconds(10);
     s.watch = seconds(20);
-    s.most = seconds(60);
+    s.max_watch = seconds(60);
     s.move = seconds(100);
     return s;
   }
@@ -180,7 +180,7 @@
   }
   void begin(State s) {
     state = std::move(s);
-    coordinator.acts(now, 4, "role");
+    coordinator.activate(now, 4, "role");
     coordinator.handle(now, StateSeen{state, ++index});
   }
   // Five seconds go by, in which each relay ends a hundred messages.
@@ -188,11 +188,11 @@
     now += seconds(5);
     std::vector<Report> all;
     for (auto& [name, r] : reports) {
-      ++r.beat;
+      ++r.heartbeat;
       r.sums += {100, 0, 100, r.build == "b" ? bad_of_new : 0u, 0};
       all.push_back(r);
     }
-    coordinator.handle(now, LookDue{});
+    coordinator.handle(now, CheckTimerExpired{});
     return coordinator.handle(now, ReportsRead{true, all});
   }
   // Looks until it writes, and takes what it writes.
@@ -204,7 +204,7 @@
       EXPECT_EQ(write->index, index);
       EXPECT_EQ(write->token, 4u);
       state = write->state;
-      coordinator.handle(now, StateWritten{StateWritten::How::taken});
+      coordinator.handle(now, StateWritten{StateWritten::Result::accepted});
       coordinator.handle(now, StateSeen{state, ++index});
       return true;
     }
@@ -239,7 +239,7 @@
         std::count_if(reports.begin(), reports.end(), [](const auto& r) { return r.second.build == "b"; })));
     ASSERT_TRUE(writes());
   }
-  EXPECT_EQ(state.phase, Phase::done) << state.why;
+  EXPECT_EQ(state.phase, Phase::done) << state.reason;
   EXPECT_EQ(moved, (std::vector<std::size_t>{1, 2, 4}));
 }
 
@@ -249,7 +249,7 @@
   move_all();
   ASSERT_TRUE(writes(4));  // before its watch is over
   EXPECT_EQ(state.phase, Phase::back);
-  EXPECT_NE(state.why.find("undelivered"), std::string::npos);
+  EXPECT_NE(state.reason.find("undelivered"), std::string::npos);
   move_all();
   ASSERT_TRUE(writes());
   EXPECT_EQ(state.phase, Phase::returned);
@@ -271,7 +271,7 @@
   begin(s);
   ASSERT_TRUE(writes());
   EXPECT_EQ(state.phase, Phase::halted);
-  EXPECT_EQ(state.why, "r0 has not moved in time");
+  EXPECT_EQ(state.reason, "r0 has not moved in time");
   begin(rolling());
   reports["r0"].trouble = "the new program ended";
   ASSERT_TRUE(writes(2));
@@ -285,11 +285,11 @@
   const Report silent = reports["r0"];
   for (int i = 0; i < 5; ++i) {
     reports["r0"] = silent;
-    --reports["r0"].beat;
+    --reports["r0"].heartbeat;
     if (writes(1)) break;
   }
   EXPECT_EQ(state.phase, Phase::back);
-  EXPECT_EQ(state.why, "r0 has moved and reports no more");
+  EXPECT_EQ(state.reason, "r0 has moved and reports no more");
 }
 
 TEST_F(CoordinatorTest, WaitsLongerWhereThereIsTooLittleTrafficToTell) {
@@ -301,10 +301,10 @@
     now += seconds(5);
     std::vector<Report> all;
     for (auto& [name, r] : reports) {
-      ++r.beat;
+      ++r.heartbeat;
       all.push_back(r);
     }
-    coordinator.handle(now, LookDue{});
+    coordinator.handle(now, CheckTimerExpired{});
     if (find<WriteState>(coordinator.handle(now, ReportsRead{true, all})) != nullptr) break;
   }
   EXPECT_EQ(looks, 12);  // 60 s after the first
@@ -317,10 +317,10 @@
   State halted = state;
   halted.phase = Phase::halted;
   coordinator.handle(now, StateSeen{halted, ++index});
-  EXPECT_TRUE(coordinator.handle(now + seconds(5), LookDue{}).empty());
+  EXPECT_TRUE(coordinator.handle(now + seconds(5), CheckTimerExpired{}).empty());
   begin(rolling());
-  coordinator.stops();
-  EXPECT_TRUE(coordinator.handle(now + seconds(5), LookDue{}).empty());
+  coordinator.deactivate();
+  EXPECT_TRUE(coordinator.handle(now + seconds(5), CheckTimerExpired{}).empty());
   EXPECT_TRUE(coordinator.handle(now + seconds(5), ReportsRead{true, {}}).empty());
 }
 
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "copy.hpp"
+#include "message_copies.hpp"
 #include "placement.hpp"
 
 namespace fennellane::replica {
@@ -42,15 +42,15 @@
   EXPECT_TRUE(join(known, record(1, {1, 1}, 0, true)));  // told late, by an old owner
   EXPECT_TRUE(known.ended);
   EXPECT_FALSE(join(known, with_body(record(1, {9, 9}, 3))));
-  EXPECT_FALSE(taken_over(known));
+  EXPECT_FALSE(entry_for_takeover(known));
 }
 
 TEST(Join, ABodyIsKeptWhicheverComesFirst) {
   Record known = record(1, {1, 2}, 1);
-  EXPECT_FALSE(taken_over(known));
+  EXPECT_FALSE(entry_for_takeover(known));
   EXPECT_TRUE(join(known, with_body(record(1, {1, 1}))));
-  ASSERT_TRUE(taken_over(known));
-  EXPECT_EQ(taken_over(known)->attempts, 1u);
+  ASSERT_TRUE(entry_for_takeover(known));
+  EXPECT_EQ(entry_for_takeover(known)->attempts, 1u);
 }
 
 RC_GTEST_PROP(JoinProperty, CopiesThatHeardTheSameAgree, ()) {
@@ -94,7 +94,7 @@
   std::map<std::string, std::vector<Peer>> before;
   std::map<std::string, int> load;
   for (const Peer& p : all) {
-    before[p.relay] = holders_for(p.relay, p.zone, all, 2);
+    before[p.relay] = choose_holders(p.relay, p.zone, all, 2);
     ASSERT_EQ(before[p.relay].size(), 2u);
     std::set<std::string> zones{p.zone};
     for (const Peer& holder : before[p.relay]) {
@@ -109,36 +109,36 @@
   std::vector<Peer> rest = all;
   std::erase_if(rest, [&gone](const Peer& p) { return p.relay == gone; });
   for (const Peer& p : rest) {
-    const auto after = holders_for(p.relay, p.zone, rest, 2);
+    const auto after = choose_holders(p.relay, p.zone, rest, 2);
     const bool held = std::any_of(before[p.relay].begin(), before[p.relay].end(),
                                   [&gone](const Peer& holder) { return holder.relay == gone; });
     if (!held) {
       EXPECT_EQ(after, before[p.relay]) << p.relay;
     }
   }
-  EXPECT_EQ(holders_for("r0", "a", {{"r0", "a", ""}}, 2).size(), 0u);
-  EXPECT_EQ(holders_for("r0", "", {{"r1", "", ""}, {"r2", "", ""}}, 2).size(), 2u);
-  EXPECT_EQ(holders_for("r0", "a", {{"r1", "a", ""}}, 1).size(), 1u);  // better than none
+  EXPECT_EQ(choose_holders("r0", "a", {{"r0", "a", ""}}, 2).size(), 0u);
+  EXPECT_EQ(choose_holders("r0", "", {{"r1", "", ""}, {"r2", "", ""}}, 2).size(), 2u);
+  EXPECT_EQ(choose_holders("r0", "a", {{"r1", "a", ""}}, 1).size(), 1u);  // better than none
 }
 
 TEST(Copy, TakesWhatIsNewAndForgetsWhatHasEnded) {
-  Copy copy;
-  EXPECT_TRUE(copy.take(Records{{1, 2}, {with_body(record(1, {1, 1})), with_body(record(2, {1, 2}))}, 1}));
+  MessageCopies copy;
+  EXPECT_TRUE(copy.apply(Records{{1, 2}, {with_body(record(1, {1, 1})), with_body(record(2, {1, 2}))}, 1}));
   EXPECT_EQ(copy.held().size(), 2u);
-  EXPECT_EQ(copy.bytes(), 2 * (kStreamBytes + 4));
-  EXPECT_TRUE(copy.take(Records{{1, 3}, {record(1, {1, 3}, 0, true)}, 2}));
+  EXPECT_EQ(copy.bytes(), 2 * (kStreamOverheadBytes + 4));
+  EXPECT_TRUE(copy.apply(Records{{1, 3}, {record(1, {1, 3}, 0, true)}, 2}));
   // The same once more: an end that is forgotten does not come back to life.
-  EXPECT_TRUE(copy.take(Records{{1, 2}, {with_body(record(1, {1, 1}))}, 3}));
+  EXPECT_TRUE(copy.apply(Records{{1, 2}, {with_body(record(1, {1, 1}))}, 3}));
   EXPECT_EQ(copy.held().count(1), 0u);
   EXPECT_EQ(copy.position(), (Version{1, 3}));
-  EXPECT_TRUE(copy.take(Records{{2, 1}, {}, 1}));
-  EXPECT_FALSE(copy.take(Records{{1, 9}, {with_body(record(5, {1, 9}))}, 4}));  // of an old owner
+  EXPECT_TRUE(copy.apply(Records{{2, 1}, {}, 1}));
+  EXPECT_FALSE(copy.apply(Records{{1, 9}, {with_body(record(5, {1, 9}))}, 4}));  // of an old owner
   EXPECT_EQ(copy.held().count(5), 0u);
 }
 
 RC_GTEST_PROP(CopyProperty, CatchesUpByTheRangesThatDiffer, ()) {
   std::map<StreamId, Record> owner;
-  Copy copy;
+  MessageCopies copy;
   Records first{{1, 500}, {}, 1};
   for (StreamId stream = 1; stream <= 300; ++stream) {
     const int fate = *rc::gen::inRange(0, 12);
@@ -148,8 +148,8 @@
     if (fate == 1) continue;
     owner[stream] = with_body(record(stream, {2, stream}, fate == 2 ? 3 : 0));
   }
-  RC_ASSERT(copy.take(first));
-  const Digests wanted = digests_of(owner), found = copy.digests();
+  RC_ASSERT(copy.apply(first));
+  const Digests wanted = compute_digests(owner), found = copy.digests();
   std::size_t sent = 0;
   for (std::uint32_t range = 0; range < kRanges; ++range) {
     if (wanted[range] == found[range]) continue;
@@ -157,14 +157,14 @@
     for (const auto& [stream, r] : owner)
       if (range_of(stream) == range) whole.records.push_back(r);
     sent += whole.records.size();
-    RC_ASSERT(copy.take(whole, {2, 1000}));
+    RC_ASSERT(copy.apply(whole, {2, 1000}));
   }
   RC_ASSERT(copy.digests() == wanted);
   RC_ASSERT(copy.held().size() == owner.size());
   std::size_t bytes = 0;
   for (const auto& [stream, r] : copy.held()) {
     RC_ASSERT(r.entry.attempts == owner.at(stream).entry.attempts);
-    bytes += kStreamBytes + 4;
+    bytes += kStreamOverheadBytes + 4;
   }
   RC_ASSERT(copy.bytes() == bytes);
   RC_ASSERT(sent <= owner.size());
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -9,46 +9,46 @@
 namespace fennellane {
 namespace {
 
-std::string shipped(const std::string& name) {
+std::string shipped_file(const std::string& name) {
   std::ifstream in(std::string(SOURCE_ROOT) + "/deploy/" + name);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
 const std::string kAgent = "(consul (address \"127.0.0.1:8500\"))";
-const std::string kLeast =
+const std::string kMinimalSettings =
     "(class (name \"note\") (effect \"free\") (aim-ms 2000) (give-up-ms 20000))\n"
     "(tenant (name \"north\"))\n";
 const std::string kHost = "(host (id \"a\") (address \"127.0.0.1:1\") (destination 7))\n";
 
 TEST(Settings, TheShippedExamplesCanBeRead) {
-  const Config alone = apply_settings(shipped("example.sexp"), "example.sexp", std::nullopt);
-  EXPECT_FALSE(alone.platform);
+  const Config alone = apply_settings(shipped_file("example.sexp"), "example.sexp", std::nullopt);
+  EXPECT_FALSE(alone.has_platform);
   EXPECT_EQ(alone.source, MembershipSource::list);
-  EXPECT_EQ(alone.known.hosts.size(), 3u);
-  EXPECT_TRUE(alone.known.whole);
+  EXPECT_EQ(alone.known_hosts.hosts.size(), 3u);
+  EXPECT_TRUE(alone.known_hosts.full);
   EXPECT_EQ(alone.boot.classes, (std::vector<std::string>{"template-notice", "order-payment"}));
   EXPECT_EQ(alone.boot.settings.classes[1].effect, starlinghook::Effect::unsafe);
   EXPECT_EQ(alone.boot.settings.classes[1].deadline, std::chrono::seconds(16));
   EXPECT_EQ(alone.boot.settings.slots, 16u);
 
   const Config platform = parse_config(test::config_json());
-  const Config over = apply_settings(shipped("consul.sexp"), "consul.sexp", platform);
-  EXPECT_TRUE(over.platform);
+  const Config over = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
+  EXPECT_TRUE(over.has_platform);
   EXPECT_EQ(over.name, "n0");
   ASSERT_EQ(over.source, MembershipSource::consul);
   EXPECT_EQ(over.consul->services.size(), 2u);
   EXPECT_EQ(over.consul->services[1].tag, "live");
-  EXPECT_EQ(over.consul->wait, std::chrono::seconds(55));
+  EXPECT_EQ(over.consul->blocking_wait, std::chrono::seconds(55));
   // The example says what the defaults are.
   const ConsulSettings defaults;
-  EXPECT_EQ(over.consul->wait, defaults.wait);
+  EXPECT_EQ(over.consul->blocking_wait, defaults.blocking_wait);
   EXPECT_EQ(over.consul->queries_per_second, defaults.queries_per_second);
-  EXPECT_EQ(over.consul->membership.most_loss, defaults.membership.most_loss);
+  EXPECT_EQ(over.consul->membership.max_loss_share, defaults.membership.max_loss_share);
   EXPECT_EQ(over.consul->membership.loss_hold, defaults.membership.loss_hold);
-  EXPECT_EQ(over.consul->membership.damping.most, defaults.membership.damping.most);
+  EXPECT_EQ(over.consul->membership.damping.max_wait, defaults.membership.damping.max_wait);
 
   EXPECT_FALSE(platform.fleet);
-  const Config fleet = apply_settings(shipped("fleet.sexp"), "fleet.sexp", platform);
+  const Config fleet = apply_settings(shipped_file("fleet.sexp"), "fleet.sexp", platform);
   ASSERT_TRUE(fleet.fleet);
   EXPECT_EQ(fleet.source, MembershipSource::platform);
   FleetSettings usual;
@@ -56,7 +56,7 @@
   usual.sweep.service = "fennellane";
   EXPECT_EQ(*fleet.fleet, usual);
 
-  const Config drained = apply_settings(shipped("drain.sexp"), "drain.sexp", platform);
+  const Config drained = apply_settings(shipped_file("drain.sexp"), "drain.sexp", platform);
   ASSERT_TRUE(drained.fleet && drained.fleet->drain && drained.fleet->release);
   drain::SlotSettings slot;  // what the file says more than the usual
   slot.relay = platform.name;
@@ -67,23 +67,23 @@
   EXPECT_EQ(drained.fleet->release->folder, "/opt/fennellane");
   EXPECT_EQ(drained.fleet->release->coordinator, release::CoordinatorSettings{});
 
-  const Config capped = apply_settings(shipped("ejection.sexp"), "ejection.sexp", platform);
+  const Config capped = apply_settings(shipped_file("ejection.sexp"), "ejection.sexp", platform);
   ASSERT_TRUE(capped.fleet && capped.fleet->ejection);
   EXPECT_EQ(capped.fleet->ejection->arbiter, ejection::ArbiterSettings());
   EXPECT_EQ(capped.fleet->ejection->reporter.relay, platform.name);
 
   EXPECT_FALSE(platform.upgrade);
-  const Config upgraded = apply_settings(shipped("upgrade.sexp"), "upgrade.sexp", platform);
+  const Config upgraded = apply_settings(shipped_file("upgrade.sexp"), "upgrade.sexp", platform);
   EXPECT_EQ(upgraded.upgrade, UpgradeSettings());
 }
 
 // With a list on the disk, both of its files and both of the journal's keep within the limit.
 TEST(Settings, TheListAndTheJournalShareTheDisk) {
   const Config platform = parse_config(test::config_json());
-  const Config over = apply_settings(shipped("consul.sexp"), "consul.sexp", platform);
-  EXPECT_GT(over.limits.list_file, 0u);
-  EXPECT_LT(2 * over.limits.list_file + 2 * over.limits.journal_file, 3'000'000u);
-  EXPECT_EQ(platform.limits.list_file, 0u);
+  const Config over = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
+  EXPECT_GT(over.limits.max_host_list_file, 0u);
+  EXPECT_LT(2 * over.limits.max_host_list_file + 2 * over.limits.max_journal_file, 3'000'000u);
+  EXPECT_EQ(platform.limits.max_host_list_file, 0u);
 }
 
 TEST(Settings, SaysWhatIsWrongAndWhere) {
@@ -103,48 +103,52 @@
       {"(limits (sockets 64.5))", "s:1: limits.sockets: expected an integer, not 64.5"},
       {"(limits (disk-mb 1e400))", "s:1: limits.disk-mb: expected a number, not 1e400"},
       {"\n(limits\n(sockets 3))", "s:3: limits.sockets: "},
-      {kLeast + "(upgrade (state-ms 5))", "s:3: upgrade.state-ms: "},
-      {kLeast + "(log (form \"xml\"))", "s:3: log.form: "},
-      {kLeast + kHost + "(host (id \"b\") (destination 7))", "s:4: host[1]: "},
-      {kLeast + kHost + kHost, "s:4: host[1].id: another host has this id: a"},
-      {kLeast + "(host (id \"b\") (address \"bank:80\") (destination 7))",
+      {kMinimalSettings + "(upgrade (state-ms 5))", "s:3: upgrade.state-ms: "},
+      {kMinimalSettings + "(log (form \"xml\"))", "s:3: log.form: "},
+      {kMinimalSettings + kHost + "(host (id \"b\") (destination 7))", "s:4: host[1]: "},
+      {kMinimalSettings + kHost + kHost, "s:4: host[1].id: another host has this id: a"},
+      {kMinimalSettings + "(host (id \"b\") (address \"bank:80\") (destination 7))",
        "s:3: host[0].address: expected a numeric address with a port, not bank:80"},
       {kHost, "class: at least one class of message is needed"},
-      {kLeast, "host: at least one host is needed"},
-      {kLeast + "(membership \"platform\")", "s:3: membership: there is no platform"},
-      {kLeast + "(membership \"consul\")", "consul: is needed for membership consul"},
-      {kLeast + "(membership \"consul\")\n(consul (address \"127.0.0.1:8500\"))",
+      {kMinimalSettings, "host: at least one host is needed"},
+      {kMinimalSettings + "(membership \"platform\")", "s:3: membership: there is no platform"},
+      {kMinimalSettings + "(membership \"consul\")", "consul: is needed for membership consul"},
+      {kMinimalSettings + "(membership \"consul\")\n(consul (address \"127.0.0.1:8500\"))",
        "consul.service: at least one is needed"},
-      {kLeast + "(consul (tag \"a\"))", "s:3: consul"},
-      {kLeast + kHost + "(fleet (roles \"sweep\"))", "fleet: needs a section consul"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"dance\"))", "fleet.roles"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"sweep\" \"sweep\"))", "fleet.roles: is named twice: sweep"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"sweep\"))", "fleet.sweep.service: is needed"},
-      {kLeast + kHost + kAgent + "\n(fleet (roles \"sweep\") (ttl-ms 9000))",
+      {kMinimalSettings + "(consul (tag \"a\"))", "s:3: consul"},
+      {kMinimalSettings + kHost + "(fleet (roles \"sweep\"))", "fleet: needs a section consul"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"dance\"))", "fleet.roles"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"sweep\" \"sweep\"))",
+       "fleet.roles: is named twice: sweep"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"sweep\"))", "fleet.sweep.service: is needed"},
+      {kMinimalSettings + kHost + kAgent + "\n(fleet (roles \"sweep\") (ttl-ms 9000))",
        "s:5: fleet: its times cannot be kept: ttl"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"sweep\") (renew-ms 12000))",
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"sweep\") (renew-ms 12000))",
        "its times cannot be kept: renew_every + call"},
-      {kLeast + kHost + kAgent + "(fleet)", "fleet: names neither roles nor drain"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"ejection\"))", "fleet.roles: ejection needs a section"},
-      {kLeast + kHost + kAgent + "(fleet (ejection (every-ms 2000) (stale-ms 5000)))",
+      {kMinimalSettings + kHost + kAgent + "(fleet)", "fleet: names neither roles nor drain"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"ejection\"))",
+       "fleet.roles: ejection needs a section"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (ejection (every-ms 2000) (stale-ms 5000)))",
        "fleet.ejection.stale-ms: is under three times every-ms"},
-      {kLeast + kHost + kAgent + "(fleet (ejection (percent 101)))", "fleet.ejection.percent"},
-      {kLeast + kHost + kAgent + "(fleet (drain (most 0)))", "fleet.drain.most: nothing bounds"},
-      {kLeast + kHost + kAgent + "(fleet (drain (per-zone 1)))", "fleet.drain.zone: is needed"},
-      {kLeast + kHost + kAgent + "(fleet (drain (percent 10)))", "fleet.drain.service: is needed"},
-      {kLeast + kHost + kAgent + "(fleet (drain (out-ms 53000)))", "its times cannot be kept: out + call"},
-      {kLeast + kHost + kAgent + "(fleet (release (folder \"/opt/x\")))",
+      {kMinimalSettings + kHost + kAgent + "(fleet (ejection (percent 101)))", "fleet.ejection.percent"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (drain (most 0)))", "fleet.drain.most: nothing bounds"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (drain (per-zone 1)))", "fleet.drain.zone: is needed"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (drain (percent 10)))", "fleet.drain.service: is needed"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (drain (out-ms 53000)))",
+       "its times cannot be kept: out + call"},
+      {kMinimalSettings + kHost + kAgent + "(fleet (release (folder \"/opt/x\")))",
        "fleet.release: needs a section drain"},
-      {kLeast + kHost + kAgent + "(fleet (drain) (release (folder \"/opt/x\")))",
+      {kMinimalSettings + kHost + kAgent + "(fleet (drain) (release (folder \"/opt/x\")))",
        "fleet.release: needs a section upgrade"},
-      {kLeast + kHost + kAgent + "(fleet (roles \"drain\") (drain))",
+      {kMinimalSettings + kHost + kAgent + "(fleet (roles \"drain\") (drain))",
        "fleet.roles: drain needs a section release"},
-      {kLeast + "(consul (address \"127.0.0.1:8500\")\n(service (name \"a\"))\n(service (name \"a b\")))",
+      {kMinimalSettings +
+           "(consul (address \"127.0.0.1:8500\")\n(service (name \"a\"))\n(service (name \"a b\")))",
        "s:5: consul.service[1].name: "},
-      {kLeast + kHost +
+      {kMinimalSettings + kHost +
            "(consul (address \"127.0.0.1:8500\")\n(service (name \"a\"))\n(service (name \"a\")))",
        "s:6: consul.service[1].name: is watched twice: a"},
-      {kLeast + kHost +
+      {kMinimalSettings + kHost +
            "(consul (address \"127.0.0.1:8500\") (service (name \"a\"))\n(token-file \"/nowhere/token\"))",
        "s:5: consul.token-file: cannot be read"},
   };
@@ -162,11 +166,11 @@
 }
 
 TEST(Settings, OutlivesGarbage) {
-  const std::string good = shipped("example.sexp");
+  const std::string good = shipped_file("example.sexp");
   for (unsigned seed = 0; seed < 500; ++seed) {
     std::mt19937 random(seed);
     try {
-      apply_settings(test::garbage(good, random), "s", std::nullopt);
+      apply_settings(test::corrupted_copy(good, random), "s", std::nullopt);
     } catch (const ConfigError&) {
     }
   }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -20,14 +20,14 @@
 
 constexpr Time kTick = milliseconds(10);
 constexpr DestinationId kDestination = 7;
-constexpr Time kOverloadTime = seconds(2);
+constexpr Time kOverloadWindow = seconds(2);
 constexpr double kOverloadFactor = 2;
-constexpr double kColdFrom = 0.16;
-constexpr Time kColdTime = seconds(10);
+constexpr double kSlowStartMinShare = 0.16;
+constexpr Time kSlowStartTime = seconds(10);
 
 double in_seconds(Time span) { return std::chrono::duration<double>(span).count(); }
 
-struct World {
+struct Scenario {
   std::uint32_t forwarders = 30;
   double rate = 30;      // calls a second that the destination takes when warm
   double traffic = 0.9;  // messages a second, as a share of that
@@ -38,55 +38,57 @@
 };
 
 // The destination's side: down, then cold, then warm.
-class ColdDestination {
+class RecoveringDestination {
  public:
-  ColdDestination(const World& world, Time down) : world_(world), down_(down), up_(down + world.outage) {}
+  RecoveringDestination(const Scenario& world, Time down)
+      : world_(world), down_(down), up_(down + world.outage) {}
 
   bool is_down(Time t) const { return t >= down_ && t < up_; }
   double capacity(Time t) const {
     if (t < up_) return world_.rate;
     return world_.rate *
-           (kColdFrom + (1 - kColdFrom) * std::min(1.0, in_seconds(t - up_) / in_seconds(kColdTime)));
+           (kSlowStartMinShare +
+            (1 - kSlowStartMinShare) * std::min(1.0, in_seconds(t - up_) / in_seconds(kSlowStartTime)));
   }
   void tick(Time t) {
     tokens_ = std::min(tokens_ + capacity(t) * in_seconds(kTick), std::max(1.0, capacity(t)));
   }
-  bool takes_call() {
+  bool accept_call() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
   }
   // How far the calls of the last window go beyond what it stands; at most 0 where they do not.
   double excess(Time t, bool told) {
-    std::deque<Time>& calls = told ? told_calls_ : all_calls_;
-    while (!calls.empty() && calls.front() + kOverloadTime <= t) calls.pop_front();
-    if (t < up_ || t - up_ > kColdTime) return -1e9;
-    const double budget = kOverloadFactor * capacity(t) * in_seconds(kOverloadTime);
+    std::deque<Time>& calls = told ? informed_calls_ : all_calls_;
+    while (!calls.empty() && calls.front() + kOverloadWindow <= t) calls.pop_front();
+    if (t < up_ || t - up_ > kSlowStartTime) return -1e9;
+    const double budget = kOverloadFactor * capacity(t) * in_seconds(kOverloadWindow);
     return static_cast<double>(calls.size()) - (budget + 2 * std::sqrt(budget) + 2);
   }
   void count_call(Time t, bool told) {
     if (t < up_) return;
     all_calls_.push_back(t);
-    if (told) told_calls_.push_back(t);
+    if (told) informed_calls_.push_back(t);
   }
   Time up() const { return up_; }
 
  private:
-  const World world_;
+  const Scenario world_;
   const Time down_, up_;
   double tokens_ = 1;
-  std::deque<Time> all_calls_, told_calls_;  // since the return, of the last window
+  std::deque<Time> all_calls_, informed_calls_;  // since the return, of the last window
 };
 
 struct Result {
-  double worst_excess = -1e9;  // of forwarders that had seen the outage
-  double worst_of_all = -1e9;
-  double delivered = 0;  // share of the messages that came while it was cold
+  double max_excess_informed = -1e9;  // of forwarders that had seen the outage
+  double max_excess_all = -1e9;
+  double delivered_share = 0;  // share of the messages that came while it was cold
 };
 
 class Fleet {
  public:
-  explicit Fleet(const World& world)
+  explicit Fleet(const Scenario& world)
       : world_(world), random_(world.seed + 1000), destination_(world, seconds(10)) {
     std::vector<double> weights;
     for (std::uint32_t i = 0; i < world.forwarders; ++i) {
@@ -94,29 +96,29 @@
       weights.push_back(world.uneven ? 1 / std::sqrt(i + 1.0) : 1.0);
       Member& member = members_.back();
       member.forwarder.start(Time(0), member.actions);
-      give(member, ListChanged{true, false, {{1, kDestination, 0, 0, world.rate, Condition::ready}}});
+      handle(member, ListChanged{true, false, {{1, kDestination, 0, 0, world.rate, Condition::ready}}});
     }
     pick_ = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
   }
 
-  Result play() {
+  Result run() {
     Result result;
     std::poisson_distribution<> arrivals(world_.rate * world_.traffic * in_seconds(kTick));
     const Time end = destination_.up() + seconds(14);
     for (now_ = Time(0); now_ < end; now_ += kTick) {
       destination_.tick(now_);
-      take_answers();
-      for (int n = arrivals(random_); n > 0; --n) offer();
+      deliver_answers();
+      for (int n = arrivals(random_); n > 0; --n) submit_message();
       for (Member& member : members_) {
-        if (member.due > now_) continue;
-        member.due = Time::max();
-        give(member, TimerFired{});
+        if (member.timer_at > now_) continue;
+        member.timer_at = Time::max();
+        handle(member, TimerExpired{});
       }
-      result.worst_excess = std::max(result.worst_excess, destination_.excess(now_, true));
-      result.worst_of_all = std::max(result.worst_of_all, destination_.excess(now_, false));
+      result.max_excess_informed = std::max(result.max_excess_informed, destination_.excess(now_, true));
+      result.max_excess_all = std::max(result.max_excess_all, destination_.excess(now_, false));
     }
-    result.delivered =
-        static_cast<double>(delivered_) / static_cast<double>(std::max<std::size_t>(1, offered_));
+    result.delivered_share =
+        static_cast<double>(delivered_) / static_cast<double>(std::max<std::size_t>(1, submitted_));
     return result;
   }
 
@@ -125,8 +127,8 @@
     explicit Member(const Settings& settings) : forwarder(settings) {}
     Forwarder forwarder;
     std::vector<Action> actions;
-    Time due = Time::max();
-    bool told = false;  // has seen a call fail in the outage
+    Time timer_at = Time::max();
+    bool saw_outage = false;  // has seen a call fail in the outage
   };
   struct Answer {
     std::size_t member;
@@ -136,33 +138,34 @@
   Settings settings(std::uint32_t index) const {
     Settings s = test::fleet_settings(world_.seed, index, world_.forwarders);
     s.slots = 8;
-    s.cold_time = kColdTime;
-    s.cold_from = kColdFrom;
+    s.slow_start_time = kSlowStartTime;
+    s.slow_start_min_share = kSlowStartMinShare;
     s.overload_factor = kOverloadFactor;
-    s.overload_time = kOverloadTime;
+    s.overload_window = kOverloadWindow;
     return s;
   }
 
-  void offer() {
-    if (now_ >= destination_.up()) ++offered_;
-    give(members_[pick_(random_)], MessageArrived{++last_id_, 0, 0, kDestination, 0, seconds(20)});
+  void submit_message() {
+    if (now_ >= destination_.up()) ++submitted_;
+    handle(members_[pick_(random_)], MessageArrived{++last_id_, 0, 0, kDestination, 0, seconds(20)});
   }
-  void take_answers() {
+  void deliver_answers() {
     while (!answers_.empty() && answers_.begin()->first <= now_) {
       const Answer answer = answers_.begin()->second;
       answers_.erase(answers_.begin());
       Member& member = members_[answer.member];
       if (answer.event.outcome == Outcome::connect_failed || answer.event.outcome == Outcome::timeout)
-        member.told = true;
+        member.saw_outage = true;
       if (answer.event.outcome == Outcome::delivered && now_ >= destination_.up()) ++delivered_;
-      give(member, answer.event);
+      handle(member, answer.event);
     }
   }
-  void give(Member& member, const Event& event) {
+  void handle(Member& member, const Event& event) {
     member.forwarder.handle(now_, event, member.actions);
     const std::vector<Action> actions = std::exchange(member.actions, {});
     for (const Action& action : actions) {
-      if (const auto* timer = std::get_if<SetTimer>(&action)) member.due = std::min(member.due, timer->at);
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        member.timer_at = std::min(member.timer_at, timer->at);
       if (const auto* send = std::get_if<Send>(&action)) call(member, *send);
     }
   }
@@ -173,49 +176,49 @@
     ended.endpoint = 1;
     ended.outcome = Outcome::delivered;
     ended.finished = true;
-    ended.idle = milliseconds(1);
+    ended.connection_idle = milliseconds(1);
     Time takes = milliseconds(80);
-    destination_.count_call(now_, member.told);
+    destination_.count_call(now_, member.saw_outage);
     if (destination_.is_down(now_)) {
       ended.outcome = world_.silent ? Outcome::timeout : Outcome::connect_failed;
       ended.finished = false;
-      ended.idle = Time(0);
+      ended.connection_idle = Time(0);
       takes = world_.silent ? send.timeout : Time(milliseconds(20));
-    } else if (!destination_.takes_call()) {
+    } else if (!destination_.accept_call()) {
       ended.outcome = Outcome::full;
       ended.finished = false;
     }
     answers_.emplace(now_ + takes, Answer{static_cast<std::size_t>(&member - members_.data()), ended});
   }
 
-  const World world_;
+  const Scenario world_;
   std::mt19937 random_;
-  ColdDestination destination_;
+  RecoveringDestination destination_;
   std::vector<Member> members_;
   std::discrete_distribution<std::size_t> pick_;
   std::multimap<Time, Answer> answers_;
   std::map<MessageId, std::uint32_t> attempts_;
   MessageId last_id_ = 0;
-  std::size_t offered_ = 0, delivered_ = 0;
+  std::size_t submitted_ = 0, delivered_ = 0;
   Time now_{};
 };
 
 class SlowStart : public testing::TestWithParam<std::tuple<std::uint32_t, double, bool, bool>> {};
 
 TEST_P(SlowStart, OfAllForwardersTogetherStaysWithinTheBudget) {
-  World world;
+  Scenario world;
   std::tie(world.forwarders, world.rate, world.uneven, world.silent) = GetParam();
   for (const auto& [traffic, outage] : {std::pair{0.5, 10}, {0.9, 4}, {0.9, 20}, {1.3, 10}, {3.0, 10}}) {
     world.traffic = traffic;
     world.outage = seconds(outage);
     for (world.seed = 1; world.seed <= 3; ++world.seed) {
-      const Result result = Fleet(world).play();
+      const Result result = Fleet(world).run();
       if (std::getenv("SHOW"))
         std::printf(
             "R %u rate %g uneven %d silent %d traffic %g seed %u: excess %.1f (all %.1f), delivered %.2f\n",
             world.forwarders, world.rate, world.uneven, world.silent, world.traffic, world.seed,
-            result.worst_excess, result.worst_of_all, result.delivered);
-      EXPECT_LE(result.worst_excess, 0) << "traffic " << world.traffic << ", seed " << world.seed;
+            result.max_excess_informed, result.max_excess_all, result.delivered_share);
+      EXPECT_LE(result.max_excess_informed, 0) << "traffic " << world.traffic << ", seed " << world.seed;
     }
   }
 }
--- a/tests/stray_agent_matrix_test.cpp
+++ b/tests/stray_agent_matrix_test.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <ostream>
 
-#include "client.hpp"
+#include "http_client.hpp"
 #include "relay_fixture.hpp"
 #include "scripted_server.hpp"
 
@@ -110,7 +110,7 @@
   const Address address = parse_address(agent.address());
   asio::io_context io;
   const Limits limits = make_limits({}, 4, 10, milliseconds(500), seconds(1));
-  Client client(io, address, limits, limits.body);
+  HttpClient client(io, address, limits, limits.max_body_size);
   std::vector<std::optional<AnswerRead>> read;
   const auto ask = [&]() -> asio::awaitable<void> {
     for (std::size_t i = 0; i < texts.size(); ++i) {
@@ -207,7 +207,7 @@
   std::map<std::size_t, std::size_t> tries_, taken_;  // of notices, by case
   ScriptedServer host_;
   ScriptedServer platform_;
-  Program relay_;
+  RelayProgram relay_;
 };
 
 TEST(StrayAgentMatrix, NoNoticeIsTakenThatThePlatformRefused) {
--- a/tests/stray_answers_test.cpp
+++ b/tests/stray_answers_test.cpp
@@ -4,7 +4,7 @@
 #include <asio/detached.hpp>
 
 #include "answer_pairing.hpp"
-#include "client.hpp"
+#include "http_client.hpp"
 #include "relay_fixture.hpp"
 #include "scripted_server.hpp"
 
@@ -62,7 +62,7 @@
  public:
   ScriptedServer host;
   Platform platform;
-  Program relay;
+  RelayProgram relay;
 };
 
 TEST(StrayAnswer, ACopyOfARefusalSendsNoMessageTwice) {
@@ -92,7 +92,7 @@
     return r.id == "run" ? kTurnedAway + kDelivered : r.id == "lost" ? kDelivered + kTurnedAway : kDelivered;
   });
   Platform platform({{"s-1", host.address(), 7}, {"s-2", host.address(), 8}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   ASSERT_EQ(relay.ask(request_text("before", "x", "note")), 202u);
   ASSERT_TRUE(happens([&] { return relay.counter("delivered") == 1; }));
@@ -117,7 +117,7 @@
       },
       [&] { return ++greeted == 1 ? kDelivered : std::string(); });
   Platform platform({{"s-1", host.address()}});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.set_variable("LD_PRELOAD", FENNELLANE_FAULT_SHIM);
   relay.set_variable("ASAN_OPTIONS", "verify_asan_link_order=0");
   relay.set_variable("FENNELLANE_FAULTS", "call=peek errno=ENOMEM count=20");
@@ -147,7 +147,7 @@
     }
     return ScriptedAnswer{tries++ == 0 ? bad : good, milliseconds(20), {}};
   });
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   ASSERT_EQ(relay.ask(request_text("first", "x", "pay")), 202u);
   ASSERT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; })) << relay.log();
@@ -171,7 +171,7 @@
     if (r.target != "/v1/notices") return ScriptedAnswer{};
     return ScriptedAnswer{tries++ == 0 ? good + bad : good, milliseconds(0), {}};
   });
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   ASSERT_EQ(relay.ask(request_text("m1", "x", "pay")), 202u);
   EXPECT_TRUE(happens([&] { return tries == 2; }, seconds(10))) << relay.log();
@@ -186,7 +186,7 @@
   Platform platform({ready, {"s-2", other.address()}});
   const std::string newer = list_json({drains}, 3, false) + "\n";
   platform.set_watch(list_json({ready}, 2, false) + "\n" + newer + list_json({ready}, 2, false) + "\n");
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
   ASSERT_TRUE(happens([&] { return platform.watches() >= 1; }));
   // The watch that is opened anew brings what has changed since, which is nothing.
@@ -208,7 +208,7 @@
   asio::io_context io;
   const Limits limits = make_limits({}, 4, 10, milliseconds(500), seconds(1));
   const Address address = parse_address(agent.address());
-  fennellane::Client client(io, address, limits, limits.body);
+  fennellane::HttpClient client(io, address, limits, limits.max_body_size);
   std::vector<std::string> answers;
   const auto ask_both = [&]() -> asio::awaitable<void> {
     for (const char* target : {"/first", "/second"}) {
@@ -231,7 +231,7 @@
 // was written on the connection. Nothing but a call's own answer may end it. The path is one of many
 // connections' paths, so every order of steps is played.
 template <class Pairing>
-struct PairingWorld {
+struct PairingState {
   Pairing pairing;
   std::vector<bool> says_close;  // of each call that was written, by number
   std::size_t answered = 0;      // of these, by the server
@@ -239,28 +239,28 @@
 };
 
 template <class Pairing>
-void play(const PairingWorld<Pairing>& world, int steps, std::size_t& ended, std::size_t& wrong) {
+void explore(const PairingState<Pairing>& world, int steps, std::size_t& ended, std::size_t& wrong) {
   if (steps == 0) return;
   const auto heard = [&](std::size_t call) {
-    PairingWorld<Pairing> next = world;
+    PairingState<Pairing> next = world;
     next.answered = std::max(next.answered, call + 1);
     if (!next.out) {
-      next.pairing.spend();
-    } else if (next.pairing.is_own(next.says_close[call])) {
+      next.pairing.mark_unusable();
+    } else if (next.pairing.match_answer(next.says_close[call])) {
       next.out = false;
       ++ended;
       wrong += call + 1 == next.says_close.size() ? 0 : 1;
     }
-    play(next, steps - 1, ended, wrong);
+    explore(next, steps - 1, ended, wrong);
   };
-  if (!world.out && world.pairing.may_call()) {
+  if (!world.out && world.pairing.can_start_call()) {
     for (const bool asks : {false, true}) {
-      if (!asks && world.pairing.must_ask_close()) continue;
-      PairingWorld<Pairing> next = world;
+      if (!asks && world.pairing.must_request_close()) continue;
+      PairingState<Pairing> next = world;
       next.pairing.begin_call(asks);
       next.says_close.push_back(asks);
       next.out = true;
-      play(next, steps - 1, ended, wrong);
+      explore(next, steps - 1, ended, wrong);
     }
   }
   // The server answers in order; what it has answered may come again.
@@ -269,12 +269,12 @@
 }
 
 // As the relay once was.
-struct TakesEachAnswer {
-  bool may_call() const { return !out_; }
-  bool must_ask_close() const { return false; }
+struct AcceptsAnyAnswer {
+  bool can_start_call() const { return !out_; }
+  bool must_request_close() const { return false; }
   void begin_call(bool) { out_ = true; }
-  bool is_own(bool) { return std::exchange(out_, false); }
-  void spend() { out_ = true; }
+  bool match_answer(bool) { return std::exchange(out_, false); }
+  void mark_unusable() { out_ = true; }
 
  private:
   bool out_ = false;
@@ -283,26 +283,26 @@
 TEST(AnswerPairing, EndsNoCallByAnotherCallsAnswerWhateverComesAgain) {
   constexpr int kSteps = 12;
   std::size_t ended = 0, wrong = 0;
-  play(PairingWorld<AnswerPairing>{}, kSteps, ended, wrong);
+  explore(PairingState<AnswerPairing>{}, kSteps, ended, wrong);
   EXPECT_GT(ended, 0u);
   EXPECT_EQ(wrong, 0u);
-  play(PairingWorld<TakesEachAnswer>{}, kSteps, ended, wrong);
+  explore(PairingState<AcceptsAnyAnswer>{}, kSteps, ended, wrong);
   EXPECT_GT(wrong, 0u) << "the check finds nothing";
 }
 
 TEST(AnswerPairing, CarriesTwoCallsAtMostAndTheSecondOnlyWithAClose) {
   AnswerPairing pairing;
-  EXPECT_FALSE(pairing.must_ask_close());
+  EXPECT_FALSE(pairing.must_request_close());
   pairing.begin_call(false);
-  EXPECT_FALSE(pairing.may_call());
-  EXPECT_TRUE(pairing.is_own(false));
-  ASSERT_TRUE(pairing.may_call() && pairing.must_ask_close());
+  EXPECT_FALSE(pairing.can_start_call());
+  EXPECT_TRUE(pairing.match_answer(false));
+  ASSERT_TRUE(pairing.can_start_call() && pairing.must_request_close());
   EXPECT_THROW(AnswerPairing(pairing).begin_call(false), std::logic_error);
   pairing.begin_call(true);
-  EXPECT_FALSE(pairing.next_is_own());
-  EXPECT_FALSE(pairing.is_own(false));
-  EXPECT_TRUE(pairing.is_own(true));
-  EXPECT_FALSE(pairing.may_call());
+  EXPECT_FALSE(pairing.next_answer_matches());
+  EXPECT_FALSE(pairing.match_answer(false));
+  EXPECT_TRUE(pairing.match_answer(true));
+  EXPECT_FALSE(pairing.can_start_call());
 }
 
 TEST(AnswerHead, JoinedFromTwoAnswersIsRefused) {
@@ -312,7 +312,7 @@
     HttpReader reader(HttpReader::Kind::response, 65536, 65536);
     reader.feed(half + whole);
     EXPECT_TRUE(reader.failed()) << half;
-    EXPECT_FALSE(reader.says_close()) << half;
+    EXPECT_FALSE(reader.has_connection_close()) << half;
   }
   HttpReader reader(HttpReader::Kind::response, 65536, 65536);
   reader.feed("HTTP/1.1 200 OK\r\nVia: HTTP/1.1 proxy\r\nContent-Length: 0\r\n\r\n");
--- a/tests/stray_matrix_test.cpp
+++ b/tests/stray_matrix_test.cpp
@@ -213,7 +213,7 @@
   std::vector<bool> tried_ = std::vector<bool>(cases_.size());
   ScriptedServer server_;
   Platform platform_;
-  Program relay_;
+  RelayProgram relay_;
 };
 
 class StrayMatrixTest : public testing::TestWithParam<Connection> {};
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -7,7 +7,7 @@
 #include <condition_variable>
 
 #include "command.hpp"
-#include "http_memory.hpp"
+#include "http_snapshot.hpp"
 #include "relay_fixture.hpp"
 #include "run_file.hpp"
 
@@ -18,11 +18,11 @@
 
 constexpr const char* kUp = "GET /up HTTP/1.1\r\n\r\n";
 // For upgrades that shall succeed on any machine, and for those that shall not.
-constexpr const char* kPatient = "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000))";
-constexpr const char* kHasty = "(upgrade (start-ms 700) (state-ms 300) (taken-ms 300))";
+constexpr const char* kLongTimeouts = "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000))";
+constexpr const char* kShortTimeouts = "(upgrade (start-ms 700) (state-ms 300) (taken-ms 300))";
 
 // Guards a call that a partner holds back against being called again on a slow machine: 20 s, not 2 s.
-ConfigParts patient_parts() {
+ConfigParts long_timeout_parts() {
   ConfigParts parts;
   parts.connect_ms = 10000;
   return parts;
@@ -37,7 +37,7 @@
     open_ = true;
     changed_.notify_all();
   }
-  void pass() {
+  void wait_until_open() {
     std::unique_lock lock(mutex_);
     changed_.wait_for(lock, seconds(60), [this] { return open_; });
   }
@@ -49,9 +49,9 @@
 };
 
 // A client on one connection that it keeps.
-class KeptClient {
+class PersistentClient {
  public:
-  explicit KeptClient(const Program& relay) : socket_(relay.connected(io_)) {}
+  explicit PersistentClient(const RelayProgram& relay) : socket_(relay.connected(io_)) {}
   bool send(std::string_view text) {
     asio::error_code error;
     asio::write(socket_, asio::buffer(text), error);
@@ -82,48 +82,48 @@
 
 // A relay with a `pay` and a `note` out at a partner that does not answer yet, an idle client, and one in the
 // middle of a request.
-class Scene {
+class UpgradeScenario {
  public:
-  static constexpr std::size_t kBefore = 4;  // messages that are delivered before it begins
-  explicit Scene(const std::string& faults = "", const std::string& settings = kPatient)
+  static constexpr std::size_t kDeliveredBefore = 4;  // messages that are delivered before it begins
+  explicit UpgradeScenario(const std::string& faults = "", const std::string& settings = kLongTimeouts)
       : partner_([this](const Request& r) {
-          if (r.id == "p1" || r.id == "n1") gate_.pass();
+          if (r.id == "p1" || r.id == "n1") gate_.wait_until_open();
           return answer("200 OK");
         }),
         platform({{"s-1", partner_.address()}}),
-        relay(platform.address(), patient_parts()) {
+        relay(platform.address(), long_timeout_parts()) {
     relay.replace_settings(settings);
     set_faults(faults);
     relay.set_variable("FENNELLANE_FAULTS", relay.folder() + "/faults");
     relay.start();
-    idle = std::make_unique<KeptClient>(relay);
-    half = std::make_unique<KeptClient>(relay);
+    idle_client = std::make_unique<PersistentClient>(relay);
+    mid_request_client = std::make_unique<PersistentClient>(relay);
     // The relay sends more at once to a host that has answered some.
-    for (std::size_t i = 1; i <= kBefore; ++i) {
-      EXPECT_EQ(idle->ask(request_text("w" + std::to_string(i))), 202u);
+    for (std::size_t i = 1; i <= kDeliveredBefore; ++i) {
+      EXPECT_EQ(idle_client->ask(request_text("w" + std::to_string(i))), 202u);
       EXPECT_TRUE(happens([&] { return relay.counter("delivered") == i; }));
     }
-    EXPECT_EQ(idle->ask(request_text("p1", "one", "pay")), 202u);
-    EXPECT_EQ(idle->ask(request_text("n1", "two")), 202u);
+    EXPECT_EQ(idle_client->ask(request_text("p1", "one", "pay")), 202u);
+    EXPECT_EQ(idle_client->ask(request_text("n1", "two")), 202u);
     EXPECT_TRUE(happens([&] { return calls("p1") == 1 && calls("n1") == 1; }));
-    began_ = std::chrono::steady_clock::now();
-    EXPECT_TRUE(half->send(request_.substr(0, request_.size() / 2)));
+    request_began_ = std::chrono::steady_clock::now();
+    EXPECT_TRUE(mid_request_client->send(request_.substr(0, request_.size() / 2)));
   }
-  ~Scene() { gate_.open(); }
-  Scene(const Scene&) = delete;
-  Scene& operator=(const Scene&) = delete;
+  ~UpgradeScenario() { gate_.open(); }
+  UpgradeScenario(const UpgradeScenario&) = delete;
+  UpgradeScenario& operator=(const UpgradeScenario&) = delete;
   void set_faults(const std::string& faults) { std::ofstream(relay.folder() + "/faults") << faults; }
-  int upgrade() { return upgrade::ask_for_upgrade(relay.state_folder(), seconds(90)); }
+  int upgrade() { return upgrade::request_upgrade(relay.state_folder(), seconds(90)); }
   std::size_t calls(const std::string& id) const { return partner_.count(id); }
   pid_t serving() const { return upgrade::read_run_file(relay.state_folder())->pid; }
 
   // Every message, call and client goes on where it was.
-  void expect_nothing_happened() {
-    EXPECT_EQ(idle->ask(kUp), 200u);
-    half->send(request_.substr(request_.size() / 2));
-    const unsigned heard = half->answer();
+  void expect_no_interruption() {
+    EXPECT_EQ(idle_client->ask(kUp), 200u);
+    mid_request_client->send(request_.substr(request_.size() / 2));
+    const unsigned heard = mid_request_client->answer();
     // A request has 2.5 s, whoever reads it: on a slow machine that may be over.
-    const bool in_time = std::chrono::steady_clock::now() - began_ < seconds(2);
+    const bool in_time = std::chrono::steady_clock::now() - request_began_ < seconds(2);
     if (in_time) {
       EXPECT_EQ(heard, 202u);
     }
@@ -132,7 +132,7 @@
       EXPECT_TRUE(happens([&] { return calls("h1") == 1; }));
     }
     gate_.open();
-    EXPECT_TRUE(happens([&] { return relay.counter("delivered") == kBefore + (taken ? 3 : 2); }))
+    EXPECT_TRUE(happens([&] { return relay.counter("delivered") == kDeliveredBefore + (taken ? 3 : 2); }))
         << relay.log();
     EXPECT_EQ(calls("p1"), 1u);
     EXPECT_EQ(calls("n1"), 1u);
@@ -140,7 +140,7 @@
     EXPECT_EQ(relay.counter("journal.held"), 0u);
   }
   // The relay has ended, as by a crash: its next life reads the journal.
-  void expect_a_crash() {
+  void expect_recovery_from_journal() {
     EXPECT_EQ(relay.end(0), -SIGKILL);
     set_faults("");
     relay.start();
@@ -152,59 +152,59 @@
 
  private:
   const std::string request_ = request_text("h1", std::string(500, 'x'));
-  std::chrono::steady_clock::time_point began_;
+  std::chrono::steady_clock::time_point request_began_;
   Gate gate_;
   Server partner_;
 
  public:
   Platform platform;
-  Program relay;
-  std::unique_ptr<KeptClient> idle, half;
+  RelayProgram relay;
+  std::unique_ptr<PersistentClient> idle_client, mid_request_client;
 };
 
 TEST(Upgrade, TakesOverAllThatIsUnderWayTimeAndAgain) {
-  Scene scene;
+  UpgradeScenario scene;
   for (int i = 0; i < 5; ++i) {
     const pid_t before = scene.serving();
     ASSERT_EQ(scene.upgrade(), 0) << scene.relay.log();
     ASSERT_NE(scene.serving(), before);
-    EXPECT_EQ(scene.idle->ask(kUp), 200u);
+    EXPECT_EQ(scene.idle_client->ask(kUp), 200u);
   }
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
   EXPECT_EQ(scene.relay.end(SIGTERM), 0);  // the first process still stands for them all
 }
 
 TEST(Upgrade, ANewProcessThatFailsBeforeItServesChangesNothing) {
   for (const std::string step : {"checking", "accepted", "building", "ready", "serving"}) {
     for (const std::string act : {"exit", "kill"}) {
-      Scene scene("new " + step + " " + act);
+      UpgradeScenario scene("new " + step + " " + act);
       const pid_t before = scene.serving();
       EXPECT_EQ(scene.upgrade(), 1) << step << act;
       EXPECT_EQ(scene.serving(), before);
       scene.set_faults("");
       EXPECT_EQ(scene.upgrade(), 0) << "the next try after " << step << act << ": " << scene.relay.log();
-      scene.expect_nothing_happened();
+      scene.expect_no_interruption();
     }
   }
 }
 
 TEST(Upgrade, ANewProcessThatHangsIsKilledAndChangesNothing) {
   for (const std::string step : {"checking", "accepted", "building", "ready", "serving"}) {
-    Scene scene("new " + step + " hang", kHasty);
+    UpgradeScenario scene("new " + step + " hang", kShortTimeouts);
     const pid_t before = scene.serving();
     EXPECT_EQ(scene.upgrade(), 1) << step;
     EXPECT_EQ(scene.serving(), before);
-    scene.expect_nothing_happened();
+    scene.expect_no_interruption();
   }
 }
 
 TEST(Upgrade, AnOldProcessThatDiesWithItsStateHandedOverIsFollowedByTheNewOne) {
   for (const std::string step : {"awaiting", "fencing", "going", "left"}) {
-    Scene scene("old " + step + " kill");
+    UpgradeScenario scene("old " + step + " kill");
     const pid_t before = scene.serving();
     EXPECT_EQ(scene.upgrade(), 0) << step << scene.relay.log();
     EXPECT_NE(scene.serving(), before);
-    scene.expect_nothing_happened();
+    scene.expect_no_interruption();
   }
 }
 
@@ -212,103 +212,104 @@
   for (const std::string faults :
        {"old starting kill", "old offered kill", "old sending kill", "new taken kill",
         "old awaiting kill\nnew building kill", "old going kill\nnew claiming kill"}) {
-    Scene scene(faults);
+    UpgradeScenario scene(faults);
     scene.relay.signal(SIGUSR2);
-    scene.expect_a_crash();
+    scene.expect_recovery_from_journal();
   }
 }
 
 TEST(Upgrade, RefusesWhatIsNoFitProgramAndSaysSo) {
-  Scene scene;
+  UpgradeScenario scene;
   const pid_t before = scene.serving();
   const auto try_with = [&](const std::string& settings) {
     scene.relay.replace_settings(settings);
     const int result = scene.upgrade();
-    scene.relay.replace_settings(kPatient);
+    scene.relay.replace_settings(kLongTimeouts);
     EXPECT_EQ(scene.serving(), before);
-    EXPECT_EQ(scene.idle->ask(kUp), 200u);
-    return result == 0 ? "" : upgrade::read_run_file(scene.relay.state_folder())->last;
+    EXPECT_EQ(scene.idle_client->ask(kUp), 200u);
+    return result == 0 ? "" : upgrade::read_run_file(scene.relay.state_folder())->last_result;
   };
   EXPECT_NE(try_with("(upgrade").find("settings"), std::string::npos);
   EXPECT_NE(try_with("(log (lines 1000))").find("switch upgrades off"), std::string::npos);
   const auto configure = [&](const std::string& listen, int max_open) {
-    ConfigParts parts = patient_parts();
+    ConfigParts parts = long_timeout_parts();
     parts.listen = listen;
     parts.discovery = scene.platform.address();
     parts.max_open = max_open;
     scene.relay.replace_config(config_json(parts));
   };
   configure("127.0.0.1:2", 50);
-  EXPECT_NE(try_with(kPatient).find("listen has changed"), std::string::npos);
+  EXPECT_NE(try_with(kLongTimeouts).find("listen has changed"), std::string::npos);
   configure(scene.relay.address(), 60);
-  EXPECT_NE(try_with(kPatient).find("settings has changed"), std::string::npos);
+  EXPECT_NE(try_with(kLongTimeouts).find("settings has changed"), std::string::npos);
   configure(scene.relay.address(), 50);
   EXPECT_EQ(scene.upgrade(), 0);
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
 }
 
 TEST(Upgrade, AProgramThatIsNoneOrIsShortOfDescriptorsChangesNothing) {
-  const Program place(refusing_address());  // only its folder is used
+  const RelayProgram place(refusing_address());  // only its folder is used
   const std::string folder = place.folder();
   std::ofstream(folder + "/short") << "#!/bin/sh\nulimit -n 16\nexec " << FENNELLANE_PROGRAM << " \"$@\"\n";
   std::ofstream(folder + "/text") << "no program";
   fs::permissions(folder + "/short", fs::perms::owner_all);
   for (const std::string name : {"/nowhere", "/text", "/short"}) {
-    Scene scene("", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" + folder +
-                        name + "\"))");
-    std::vector<std::unique_ptr<KeptClient>> more;
+    UpgradeScenario scene("", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" +
+                                  folder + name + "\"))");
+    std::vector<std::unique_ptr<PersistentClient>> more;
     for (int i = 0; i < 10; ++i) {
-      more.push_back(std::make_unique<KeptClient>(scene.relay));
+      more.push_back(std::make_unique<PersistentClient>(scene.relay));
       EXPECT_EQ(more.back()->ask(kUp), 200u);
     }
     EXPECT_EQ(scene.upgrade(), 1) << name;
-    scene.expect_nothing_happened();
+    scene.expect_no_interruption();
     const bool said = scene.relay.logged("not enough descriptors") > 0;
     EXPECT_EQ(said, name == "/short") << scene.relay.log();
   }
 }
 
 TEST(Upgrade, ADiskThatTakesNoFenceLeavesTheOldOneTheOwner) {
-  Scene scene;
+  UpgradeScenario scene;
   const pid_t before = scene.serving();
   const auto size = static_cast<rlim_t>(fs::file_size(scene.relay.state_folder() + "/journal"));
   rlimit usual{};
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, nullptr, &usual), 0);
   const rlimit nothing{1, usual.rlim_max};  // not even that an upgrade is under way
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &nothing, nullptr), 0);
-  EXPECT_EQ(upgrade::ask_for_upgrade(scene.relay.state_folder(), seconds(1)), 1);
+  EXPECT_EQ(upgrade::request_upgrade(scene.relay.state_folder(), seconds(1)), 1);
   const rlimit full{size + 5, usual.rlim_max};  // a part of the fence's record goes in
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &full, nullptr), 0);
   EXPECT_EQ(scene.upgrade(), 1);
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &usual, nullptr), 0);
   EXPECT_EQ(scene.serving(), before);
   // The log may be as full as the journal.
-  EXPECT_NE(upgrade::read_run_file(scene.relay.state_folder())->last.find("the fence cannot be written"),
-            std::string::npos);
+  EXPECT_NE(
+      upgrade::read_run_file(scene.relay.state_folder())->last_result.find("the fence cannot be written"),
+      std::string::npos);
   EXPECT_EQ(scene.upgrade(), 0) << scene.relay.log();
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
 }
 
 TEST(Upgrade, AnOldProcessWithoutADescriptorServesOn) {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP() << "the sanitizers need descriptors of their own, and end a process that has none left";
 #endif
-  Scene scene;
+  UpgradeScenario scene;
   const pid_t before = scene.serving();
   rlimit usual{};
   ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, nullptr, &usual), 0);
   const rlimit none{3, usual.rlim_max};
   ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, &none, nullptr), 0);
-  EXPECT_EQ(upgrade::ask_for_upgrade(scene.relay.state_folder(), seconds(1)), 1);
+  EXPECT_EQ(upgrade::request_upgrade(scene.relay.state_folder(), seconds(1)), 1);
   EXPECT_TRUE(happens([&] { return scene.relay.logged("the new program cannot be started") == 1; }));
   ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, &usual, nullptr), 0);
   EXPECT_EQ(scene.serving(), before);
   EXPECT_EQ(scene.upgrade(), 0) << scene.relay.log();
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
 }
 
 TEST(Upgrade, ASigtermDuringOneEndsBothInTime) {
-  Scene scene("new checking hang");
+  UpgradeScenario scene("new checking hang");
   scene.relay.signal(SIGUSR2);
   EXPECT_TRUE(happens([&] { return scene.relay.logged("is started") == 1; }));
   scene.relay.signal(SIGUSR2);  // and a second one
@@ -319,12 +320,13 @@
 
 // The new process may have read the files before they changed.
 TEST(Upgrade, ASighupDuringOneReachesTheOneThatServes) {
-  const Program place(refusing_address());  // only its folder is used
+  const RelayProgram place(refusing_address());  // only its folder is used
   const std::string slow = place.folder() + "/slow", go = place.folder() + "/go";
   std::ofstream(slow) << "#!/bin/sh\nwhile [ ! -e " << go << " ]; do sleep 0.02; done\nexec "
                       << FENNELLANE_PROGRAM << " \"$@\"\n";
   fs::permissions(slow, fs::perms::owner_all);
-  Scene scene("", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" + slow + "\"))");
+  UpgradeScenario scene(
+      "", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" + slow + "\"))");
   scene.relay.signal(SIGUSR2);
   ASSERT_TRUE(happens([&] { return scene.relay.logged("is started") == 1; }));
   scene.relay.signal(SIGHUP);
@@ -333,11 +335,11 @@
   std::ofstream(go) << "now";
   EXPECT_TRUE(happens([&] { return scene.relay.logged("has taken over") == 1; }));
   EXPECT_TRUE(happens([&] { return scene.relay.counter("reloads") == 2; })) << scene.relay.log();
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
 }
 
 TEST(Upgrade, WhoKillsTheFirstProcessHasKilledTheRelay) {
-  Scene scene;
+  UpgradeScenario scene;
   EXPECT_EQ(scene.upgrade(), 0);
   EXPECT_EQ(scene.relay.end(SIGKILL), -SIGKILL);
   EXPECT_TRUE(happens([&] { return scene.relay.ask(kUp) == 0; }));
@@ -347,16 +349,16 @@
 
 TEST(Upgrade, IsRefusedWhereItIsOffAndAsksNobodyThatIsNoRelay) {
   Platform platform({});
-  Program relay(platform.address());
+  RelayProgram relay(platform.address());
   relay.start();
-  EXPECT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), seconds(1)), 1);
+  EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(1)), 1);
   relay.signal(SIGUSR2);
   EXPECT_TRUE(happens([&] { return relay.logged("upgrades are off") == 1; }));
   EXPECT_EQ(relay.ask(kUp), 200u);
   EXPECT_EQ(relay.end(SIGTERM), 0);
   // A file of a life that is over names this process.
   ASSERT_TRUE(upgrade::write_run_file(relay.state_folder(), {::getpid(), 0, 0, true, ""}));
-  EXPECT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), seconds(1)), 1);
+  EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(1)), 1);
 }
 
 // A told wait, a notice that is owed and the watch of discovery go along.
@@ -372,15 +374,15 @@
   });
   Platform platform({{"s-1", partner.address()}});
   platform.take_notices(false);
-  Program relay(platform.address());
-  relay.replace_settings(kPatient);
+  RelayProgram relay(platform.address());
+  relay.replace_settings(kLongTimeouts);
   relay.start();
   EXPECT_EQ(relay.ask(request_text("bad", "x", "pay")), 202u);  // reset behind its last byte: in doubt
   EXPECT_TRUE(happens([&] { return relay.counter("undeliverable") == 1; }));
   EXPECT_EQ(relay.ask(request_text("w1")), 202u);
   EXPECT_TRUE(happens([&] { return relay.counter("answer.full") == 1; }));
   const std::size_t watches = platform.watches();
-  EXPECT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
+  EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
   EXPECT_TRUE(happens([&] { return platform.watches() > watches; }));
   platform.take_notices(true);
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; }));
@@ -398,13 +400,13 @@
 TEST(Upgrade, ADrainToldMeanwhileHolds) {
   Server partner([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", partner.address()}});
-  Program relay(platform.address());
-  relay.replace_settings(kPatient);
+  RelayProgram relay(platform.address());
+  relay.replace_settings(kLongTimeouts);
   relay.start();
   EXPECT_EQ(relay.ask(request_text("a")), 202u);
   EXPECT_TRUE(happens([&] { return partner.count("a") == 1 && platform.watches() == 1; }));
   platform.set_watch(list_json({{"s-1", partner.address(), 7, "draining"}}, 2, false) + "\n");
-  EXPECT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
+  EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
   EXPECT_TRUE(happens([&] { return relay.counter("lists") == 2; })) << relay.log();
   EXPECT_EQ(relay.ask(request_text("b")), 202u);
   std::this_thread::sleep_for(milliseconds(300));
@@ -415,18 +417,18 @@
   Server partner([](const Request&) { return answer("200 OK"); });
   ConfigParts parts;
   parts.known = {{"s-1", partner.address()}};
-  Program relay(refusing_address(), parts);
-  relay.replace_settings(kPatient);
+  RelayProgram relay(refusing_address(), parts);
+  relay.replace_settings(kLongTimeouts);
   relay.start();
-  EXPECT_EQ(upgrade::ask_for_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
+  EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(90)), 0) << relay.log();
   EXPECT_EQ(relay.ask(request_text("a")), 202u);
   EXPECT_TRUE(happens([&] { return relay.counter("delivered") == 1; }));
 }
 
 // More requests at once than their answers have room for, from a client that does not read yet.
 TEST(Upgrade, HalfWrittenAnswersAndUnreadRequestsGoAlong) {
-  Scene scene;
-  KeptClient piping(scene.relay);
+  UpgradeScenario scene;
+  PersistentClient piping(scene.relay);
   constexpr int kRequests = 150000;
   std::thread sender([&] {
     std::string text;
@@ -440,7 +442,7 @@
     upgraded = true;
   });
   // Slowly meanwhile, so that answers wait at each upgrade, but not so slowly that the relay cuts it off.
-  const std::size_t all = kRequests * answer_text(200, false).size();
+  const std::size_t all = kRequests * format_answer(200, false).size();
   std::string answers;
   while (!upgraded && answers.size() < all) {
     answers += piping.bytes(1000);
@@ -450,13 +452,13 @@
   upgrades.join();
   sender.join();
   std::string expected;
-  for (int i = 0; i < kRequests; ++i) expected += answer_text(200, false);
+  for (int i = 0; i < kRequests; ++i) expected += format_answer(200, false);
   const auto differs = std::mismatch(answers.begin(), answers.end(), expected.begin(), expected.end()).first;
   EXPECT_TRUE(answers == expected) << answers.size() << ", and after " << differs - answers.begin()
                                    << " bytes: "
                                    << answers.substr(static_cast<std::size_t>(differs - answers.begin()),
                                                      200);
-  scene.expect_nothing_happened();
+  scene.expect_no_interruption();
 }
 
 // Wherever a message is cut, a reader in another process goes on with it as this one would have.
@@ -470,22 +472,23 @@
         "POST /note HTTP/1.1\r\nX-Call-Id: a7\r\nTransfer-Encoding: "
         "chunked\r\n\r\n5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\n\r\n";
   }
-  if (random() % 4 == 0) text = garbage(text, random);
+  if (random() % 4 == 0) text = corrupted_copy(text, random);
   HttpReader whole(HttpReader::Kind::request, 16384, 65536);
   for (std::string_view rest = text; !rest.empty() && !whole.done() && !whole.failed();)
     rest.remove_prefix(whole.feed(rest));
   auto reader = std::make_unique<HttpReader>(HttpReader::Kind::request, 16384, 65536);
   std::size_t step = 0;
-  for (std::string_view piece : cut(text, random)) {
+  for (std::string_view piece : split_at_random(text, random)) {
     while (!piece.empty() && !reader->done() && !reader->failed()) piece.remove_prefix(reader->feed(piece));
     if (reader->done() || reader->failed()) break;
     if (passes.empty() || !passes[step++ % passes.size()]) continue;
-    const std::string bytes = written_memory([&](MemoryWriter& archive) { reader->remember(archive); });
+    const std::string bytes =
+        write_snapshot([&](SnapshotWriter& archive) { reader->serialize_state(archive); });
     reader = std::make_unique<HttpReader>(HttpReader::Kind::request, 16384, 65536);
-    read_memory(bytes, "a reader", [&](MemoryReader& archive) { reader->remember(archive); });
+    read_snapshot(bytes, "a reader", [&](SnapshotReader& archive) { reader->serialize_state(archive); });
   }
   RC_ASSERT(reader->done() == whole.done());
-  RC_ASSERT(reader->refusal() == whole.refusal());
+  RC_ASSERT(reader->error_status() == whole.error_status());
   RC_ASSERT(reader->head_done() == whole.head_done());
   RC_ASSERT(reader->target() == whole.target());
   RC_ASSERT(reader->header("x-call-id") == whole.header("x-call-id"));
--- a/tools/harness/fleet_lab.cpp
+++ b/tools/harness/fleet_lab.cpp
@@ -348,12 +348,12 @@
 std::size_t FleetLab::resting() {
   const standin::StoreAnswer answer =
       consul_.ask({"GET", "/v1/kv/lab/ejection/relay/", {{"recurse", ""}}, ""});
-  std::vector<ejection::Read> reports;
+  std::vector<ejection::StoredReport> reports;
   if (answer.status == 200) read_reports(answer.body, reports);
   std::map<std::string, std::size_t> relays;
-  for (const ejection::Read& read : reports)
-    for (const ejection::Ailing& a : read.report.ailing)
-      relays[a.host] += a.state == ejection::State::failing && !a.kept ? 1 : 0;
+  for (const ejection::StoredReport& read : reports)
+    for (const ejection::DegradedEndpoint& a : read.report.degraded_endpoints)
+      relays[a.host] += a.kind == ejection::DegradationKind::failing && !a.exempt ? 1 : 0;
   return static_cast<std::size_t>(
       std::count_if(relays.begin(), relays.end(), [](const auto& each) { return each.second >= 2; }));
 }
--- a/tools/harness/release_lab.cpp
+++ b/tools/harness/release_lab.cpp
@@ -53,17 +53,17 @@
   return lab_.waits_for_holder_other_than(lab_.size(), std::chrono::seconds(60));
 }
 
-std::string ReleaseLab::order(ReleaseOrder::What what, const std::string& to,
+std::string ReleaseLab::order(ReleaseRequest::Action what, const std::string& to,
                               const std::vector<std::string>& steps) {
   const Config config = read_config("", lab_.relay(0).folder() + "/settings.sexp");
-  ReleaseOrder wanted;
-  wanted.what = what;
+  ReleaseRequest wanted;
+  wanted.action = what;
   wanted.from = "a";
   wanted.to = to;
   wanted.steps = steps.empty() ? std::vector<std::string>{"1", "50%", "100%"} : steps;
   std::ostringstream out;
   std::string trouble;
-  order_release(*config.consul, *config.fleet, config.limits, wanted, out, trouble);
+  run_release_command(*config.consul, *config.fleet, config.limits, wanted, out, trouble);
   return trouble;
 }
 
--- a/tools/harness/release_lab.hpp
+++ b/tools/harness/release_lab.hpp
@@ -38,7 +38,7 @@
   // Starts the relays, and waits for a coordinator; false: none comes.
   bool start();
   // Empty, or why it was refused.
-  std::string order(ReleaseOrder::What what, const std::string& to = "",
+  std::string order(ReleaseRequest::Action what, const std::string& to = "",
                     const std::vector<std::string>& steps = {});
   release::State state();
   // Offers one message to each relay in turn until the phase is there; false where it does not come in time.
--- a/tools/measure_consul.cpp
+++ b/tools/measure_consul.cpp
@@ -250,7 +250,7 @@
     module.max_attempts = 12;
     module.drain_grace = seconds(1);
     Limits limits;
-    limits.held = limits.unnoticed = 100;
+    limits.max_held = limits.max_held_and_unnoticed = 100;
     Counters counters;
     Reducer reducer(module, limits, 1, counters);
     std::vector<std::string> elements;
@@ -267,7 +267,7 @@
       for (std::size_t at = 0; at < text.size(); at += 8192) {
         reader.feed(std::string_view(text).substr(at, 8192));
       }
-      MembershipChange change = membership.take(now, reader.finish());
+      MembershipChange change = membership.apply(now, reader.finish());
       const auto middle = steady_clock::now();
       now += milliseconds(10);
       if (change.list) reducer.reduce(now, ClusterChanged{std::move(*change.list), false});
@@ -346,11 +346,11 @@
       host_schema;
   std::printf("\n| check | us |\n| --- | --- |\n");
   std::printf("| the configuration by its schema, the schema read anew | %.0f |\n",
-              median_us([&] { schema_fault(value, config_schema); }));
+              median_us([&] { find_schema_error(value, config_schema); }));
   std::printf("| the whole configuration read, this check included | %.0f |\n",
               median_us([&] { parse_config(config); }));
   std::printf("| one host by a schema, the schema read anew | %.0f |\n",
-              median_us([&] { schema_fault(host, host_schema); }));
+              median_us([&] { find_schema_error(host, host_schema); }));
 }
 
 // --- 3. Without Consul: two relays in one run, one of them with an agent that fails after a while.
--- a/tools/measure_pressure.cpp
+++ b/tools/measure_pressure.cpp
@@ -20,8 +20,8 @@
 #include <sstream>
 #include <thread>
 
-#include "client.hpp"
 #include "figures.hpp"
+#include "http_client.hpp"
 #include "load.hpp"
 #include "partner.hpp"
 #include "relay_process.hpp"
--- a/tools/measure_upgrade.cpp
+++ b/tools/measure_upgrade.cpp
@@ -238,7 +238,7 @@
     relay.signal(SIGUSR2);
     std::this_thread::sleep_for(wait);
     const auto now = upgrade::read_run_file(relay.state_folder());
-    const pid_t target = kill_new ? (now->next > 0 ? now->next : now->pid) : before->pid;
+    const pid_t target = kill_new ? (now->next_pid > 0 ? now->next_pid : now->pid) : before->pid;
     ::kill(target, SIGKILL);
     // As a supervisor does that starts it again at once.
     const Moment looked = steady_clock::now();
--- a/tools/modelcheck/budget_model.cpp
+++ b/tools/modelcheck/budget_model.cpp
@@ -96,7 +96,7 @@
     s.ttl = at(b_.ttl);
     s.renew_every = at(b_.renew_every);
     s.margin = at(b_.margin);
-    s.out = at(b_.out);
+    s.max_outage = at(b_.out);
     s.call = at(b_.call);
     s.retry = at(b_.retry);
     r.slot = std::make_unique<Slot>(s);
@@ -119,10 +119,10 @@
       r.watches = watch->on;
       r.holds_read = false;
       r.seen_index = 0;
-    } else if (std::holds_alternative<GoOut>(e)) {
+    } else if (std::holds_alternative<GoOffline>(e)) {
       ++result_.outings;
       r.out_until = now_ + (b_.lasts ? draw(0, b_.out) : draw(b_.out, 2 * b_.ttl + b_.out));
-    } else if (!std::holds_alternative<Say>(e)) {
+    } else if (!std::holds_alternative<LogMessage>(e)) {
       r.call = ++r.calls;
       r.call_sent = now_;
       Message m{index_of(r), r.life, r.call, now_ + draw(0, b_.call + 1), spend(losses_, b_.losses, 12),
@@ -154,17 +154,17 @@
   }
 
   std::optional<Input> answer(const Message& m) {
-    if (std::holds_alternative<MakeSession>(m.effect)) {
+    if (std::holds_alternative<CreateSession>(m.effect)) {
       const std::string id = "s" + std::to_string(sessions_.size());
       sessions_[id] = {true, end_from_now(), ++store_index_};
-      return SessionMade{id, at(0)};  // the send is filled in where it is heard
+      return SessionCreated{id, at(0)};  // the send is filled in where it is heard
     }
     if (const auto* renew = std::get_if<Renew>(&m.effect)) {
       Session& s = sessions_.at(renew->session);
       if (s.alive) s.ends = end_from_now();
       return RenewAnswer{s.alive, at(0)};
     }
-    if (const auto* take = std::get_if<TakeSlot>(&m.effect)) {
+    if (const auto* take = std::get_if<AcquireSlot>(&m.effect)) {
       const bool good = sessions_.at(take->session).alive && (!b_.cas || take->index == budget_index_);
       if (good) {
         budget_ = take->next;
@@ -174,11 +174,11 @@
       }
       return SlotAnswer{good};
     }
-    if (const auto* end = std::get_if<EndSession>(&m.effect)) {
+    if (const auto* end = std::get_if<DestroySession>(&m.effect)) {
       Session& s = sessions_.at(end->session);
       if (s.alive) ++store_index_;
       s.alive = false;
-      return Done{};
+      return SessionDestroyed{};
     }
     return std::nullopt;
   }
@@ -204,7 +204,7 @@
     }
     if (std::exchange(r.late, false)) {
       r.wants = false;
-      return feed(r, Back{});
+      return feed(r, OutageEnded{});
     }
     if (r.call != 0 && now_ >= r.call_sent + b_.call) {
       r.call = 0;
@@ -213,11 +213,11 @@
     if (r.out_until >= 0 && r.out_until <= now_) {
       r.out_until = -1;
       r.wants = false;
-      return feed(r, Back{});
+      return feed(r, OutageEnded{});
     }
     if (r.timer && *r.timer <= now_) {
       r.timer.reset();
-      return feed(r, TimeDue{});
+      return feed(r, TimerExpired{});
     }
     if (r.watches && !r.holds_read && r.seen_index != store_index_) {
       r.seen_index = store_index_;
@@ -234,7 +234,7 @@
       r.wants = true;
       return feed(r, Ask{Purpose::upgrade});
     }
-    if (r.wants && r.slot->step() != Slot::Step::out && draw(1, 60) == 1) {
+    if (r.wants && r.slot->step() != Slot::Step::offline && draw(1, 60) == 1) {
       r.wants = false;
       return feed(r, Cancel{Purpose::upgrade});
     }
@@ -271,7 +271,7 @@
     }
     if (m.life != r.life || m.call != r.call) return true;  // given up on
     r.call = 0;
-    if (auto* made = std::get_if<SessionMade>(&m.input)) made->sent = at(r.call_sent);
+    if (auto* made = std::get_if<SessionCreated>(&m.input)) made->sent = at(r.call_sent);
     if (auto* renewed = std::get_if<RenewAnswer>(&m.input)) renewed->sent = at(r.call_sent);
     feed(r, m.input);
     return true;
--- a/tools/modelcheck/handover_model.cpp
+++ b/tools/modelcheck/handover_model.cpp
@@ -71,7 +71,7 @@
   for (const auto* queue : {&to_new, &to_old}) {
     for (const Message& m : *queue) {
       k += static_cast<char>('A' + static_cast<char>(m.index()));
-      if (const Go* go = std::get_if<Go>(&m)) k += static_cast<char>(go->generation);
+      if (const TakeOver* go = std::get_if<TakeOver>(&m)) k += static_cast<char>(go->generation);
       if (const Offer* offer = std::get_if<Offer>(&m)) k += static_cast<char>(offer->generation);
     }
     k += ';';
@@ -132,7 +132,7 @@
       if (moves_ == 0 && worlds_[i]->timer) {
         move("old's time runs out at last", *worlds_[i], [&](World& x) {
           x.timer = false;
-          tell_old(x, TimeDue{});
+          tell_old(x, TimerExpired{});
         });
       }
       if (moves_ == 0) at_end(*worlds_[i]);
@@ -329,7 +329,7 @@
       if (std::holds_alternative<SendState>(effect)) w.state_due = true;
       if (const WriteFence* fence = std::get_if<WriteFence>(&effect)) {
         w.old_fence_due = true;
-        w.old_fence_to = fence->to;
+        w.old_fence_to = fence->owner;
       }
       if (std::holds_alternative<KillPeer>(effect)) {
         w.kill_due = true;
@@ -341,11 +341,11 @@
         w.process[kOld].generation = w.old_side.generation();
         w.state_due = false;
       }
-      if (std::holds_alternative<Leave>(effect)) {
+      if (std::holds_alternative<ExitAfterHandover>(effect)) {
         w.old_left = true;
         die(w, kOld);
       }
-      if (std::holds_alternative<StartAnew>(effect)) {
+      if (std::holds_alternative<RestartFromJournal>(effect)) {
         die(w, kOld);
         begin_life(w, kOld);
       }
@@ -369,7 +369,7 @@
         x.to_old.clear();
         x.new_side = NewSide(Versions{}, Limits{});
         x.old_told_dead = x.new_told_dead = false;
-        tell_old(x, UpgradeAsked{});
+        tell_old(x, UpgradeRequested{});
       });
     }
     if (w.start_due) {
@@ -377,13 +377,13 @@
         x.start_due = false;
         x.process[kNew] = {};
         x.process[kNew].alive = true;
-        tell_old(x, Started{});
+        tell_old(x, PeerStarted{});
       });
       if (may_fail) {
         fault("the new program does not start", w, [&](World& x) {
           ++x.failures;
           x.start_due = false;
-          tell_old(x, Started{"no such file"});
+          tell_old(x, PeerStarted{"no such file"});
         });
       }
     }
@@ -413,13 +413,13 @@
                   x.old_side.step() == OldSide::Step::reclaiming ? x.old_side.generation() + 1
                                                                  : x.old_side.generation(),
                   x.old_fence_to);
-        tell_old(x, Fenced{written ? "" : "the journal is another's"});
+        tell_old(x, FenceWritten{written ? "" : "the journal is another's"});
       });
       if (may_fail) {
         fault("old's fence fails", w, [&](World& x) {
           ++x.failures;
           x.old_fence_due = false;
-          tell_old(x, Fenced{"no space left"});
+          tell_old(x, FenceWritten{"no space left"});
         });
       }
     }
@@ -433,20 +433,20 @@
       fault("old's time runs out", w, [&](World& x) {
         ++x.timeouts;
         x.timer = false;
-        tell_old(x, TimeDue{});
+        tell_old(x, TimerExpired{});
       });
     }
     if (!w.to_old.empty()) {
       move("old receives", w, [&](World& x) {
         const Message message = x.to_old.front();
         x.to_old.erase(x.to_old.begin());
-        tell_old(x, Received{message});
+        tell_old(x, MessageReceived{message});
       });
     } else if (w.old_side.busy() && !w.process[kNew].alive && !w.old_told_dead && !w.start_due &&
                !w.kill_due) {
       move("old learns that new is dead", w, [&](World& x) {
         x.old_told_dead = true;
-        tell_old(x, PeerDead{});
+        tell_old(x, PeerExited{});
       });
     }
   }
@@ -455,12 +455,13 @@
   void tell_new(World& w, const NewInput& input) {
     for (const NewEffect& effect : w.new_side.handle(Time(0), input)) {
       if (const Send* send = std::get_if<Send>(&effect)) w.to_old.push_back(send->message);
-      if (std::holds_alternative<Check>(effect) || std::holds_alternative<Build>(effect)) w.check_due = true;
+      if (std::holds_alternative<CheckConfiguration>(effect) || std::holds_alternative<BuildState>(effect))
+        w.check_due = true;
       if (const WriteFence* fence = std::get_if<WriteFence>(&effect)) {
         w.new_fence_due = true;
-        w.new_fence_to = fence->to;
+        w.new_fence_to = fence->owner;
       }
-      if (const Serve* serve = std::get_if<Serve>(&effect)) {
+      if (const StartServing* serve = std::get_if<StartServing>(&effect)) {
         w.process[kNew].generation = serve->generation;
         w.process[kNew].beliefs = w.snapshot;
       }
@@ -473,13 +474,13 @@
     if (w.check_due) {
       move("new has checked", w, [&](World& x) {
         x.check_due = false;
-        tell_new(x, Checked{});
+        tell_new(x, PreparationFinished{});
       });
       if (may_fail) {
         fault("new's check fails", w, [&](World& x) {
           ++x.failures;
           x.check_due = false;
-          tell_new(x, Checked{"the configuration is bad"});
+          tell_new(x, PreparationFinished{"the configuration is bad"});
         });
       }
     }
@@ -487,20 +488,20 @@
       move("new writes a fence", w, [&](World& x) {
         x.new_fence_due = false;
         const bool written = fence(x, x.new_fence_to - 1, x.new_fence_to);
-        tell_new(x, Fenced{written ? "" : "the journal is another's"});
+        tell_new(x, FenceWritten{written ? "" : "the journal is another's"});
       });
     }
     if (!w.to_new.empty()) {
       move("new receives", w, [&](World& x) {
         const Message message = x.to_new.front();
         x.to_new.erase(x.to_new.begin());
-        tell_new(x, Received{message});
+        tell_new(x, MessageReceived{message});
       });
     } else if ((!w.process[kOld].alive || w.process[kOld].serving) && !w.new_told_dead &&
                !w.new_side.serves()) {
       move("new learns that old is dead", w, [&](World& x) {
         x.new_told_dead = true;
-        tell_new(x, PeerDead{});
+        tell_new(x, PeerExited{});
       });
     }
   }
--- a/tools/modelcheck/lease_model.cpp
+++ b/tools/modelcheck/lease_model.cpp
@@ -115,7 +115,7 @@
       Contender c;
       c.lease = std::make_shared<const Lease>(timing_);
       first.contenders.push_back(c);
-      feed(first, i, Want{});
+      feed(first, i, AcquireRole{});
     }
     if (b_.walks > 0) return walk(first);
     add(first, "", -1);
@@ -198,22 +198,22 @@
       Message m;
       m.who = who;
       m.sent = w.now;
-      if (const auto* e = std::get_if<Acquire>(&effect)) {
+      if (const auto* e = std::get_if<AcquireLock>(&effect)) {
         m.kind = Kind::acquire;
         m.session = e->session;
-      } else if (const auto* e = std::get_if<Renew>(&effect)) {
+      } else if (const auto* e = std::get_if<RenewSession>(&effect)) {
         m.kind = Kind::renew;
         m.session = e->session;
-      } else if (const auto* e = std::get_if<Release>(&effect)) {
+      } else if (const auto* e = std::get_if<ReleaseSession>(&effect)) {
         m.kind = Kind::release;
         m.session = e->session;
-        m.flag = e->holds;
+        m.flag = e->holds_lock;
       } else if (std::holds_alternative<CreateSession>(effect)) {
         m.kind = Kind::create;
       } else if (const auto* e = std::get_if<SetTimer>(&effect)) {
         c.timer = tick_of(e->at);
         continue;
-      } else if (std::holds_alternative<Stop>(effect)) {
+      } else if (std::holds_alternative<LeaseInactive>(effect)) {
         c.prepared.reset();  // what is under way is called off, where the process runs
         continue;
       } else {
@@ -300,16 +300,16 @@
     const Time sent = at(b_.from_answer ? w.now : m.sent);
     switch (m.kind) {
       case Kind::made:
-        feed(w, m.who, SessionMade{m.session, sent});
+        feed(w, m.who, SessionCreated{m.session, sent});
         break;
       case Kind::locked:
-        feed(w, m.who, LockAnswer{m.flag, sent});
+        feed(w, m.who, AcquireAnswered{m.flag, sent});
         break;
       case Kind::renewed:
-        feed(w, m.who, RenewAnswer{m.flag, sent});
+        feed(w, m.who, RenewAnswered{m.flag, sent});
         break;
       case Kind::done:
-        feed(w, m.who, Done{});
+        feed(w, m.who, SessionReleased{});
         break;
       default:
         break;
@@ -386,7 +386,7 @@
       if (c.timer && *c.timer <= w.now)
         next(name + " timer", [&](World& x) {
           x.contenders[who].timer.reset();
-          feed(x, who, TimeDue{});
+          feed(x, who, TimerExpired{});
         });
       if (c.call_id != 0 && w.now >= c.call_sent + b_.call)
         next(name + " call timed out", [&](World& x) {
@@ -403,7 +403,7 @@
         next(name + " hears the key: " + (c.read->holder.empty() ? "free" : c.read->holder), [&](World& x) {
           const Snapshot s = *x.contenders[who].read;
           x.contenders[who].read.reset();
-          feed(x, who, KeySeen{s.holder, s.lock_index, s.index, false, s.lapsed});
+          feed(x, who, KeyRead{s.holder, s.lock_index, s.index, false, s.lapsed});
         });
       const bool acts = c.lease->may_act(at(w.now));
       if (acts && (c.writes < b_.writes || c.calls < b_.calls)) check_lease(w, who, index);
@@ -423,7 +423,7 @@
         fresh.writes = x.contenders[who].writes;
         fresh.calls = x.contenders[who].calls;
         x.contenders[who] = fresh;
-        feed(x, who, Want{});
+        feed(x, who, AcquireRole{});
       });
     if (w.restarts < b_.restarts)
       next("consul restarts", [&](World& x) {
--- a/tools/rehearse_fleet.cpp
+++ b/tools/rehearse_fleet.cpp
@@ -138,7 +138,7 @@
   const auto [taken_before, calls_before] = share(quiet);
   const auto began = Clock::now();
   const std::string trouble =
-      release.order(fennellane::ReleaseOrder::What::start, to, {"1", "10%", "30%", "100%"});
+      release.order(fennellane::ReleaseRequest::Action::start, to, {"1", "10%", "30%", "100%"});
   if (!trouble.empty()) {
     std::fprintf(stderr, "%s\n", trouble.c_str());
     return 1;
@@ -155,7 +155,7 @@
         "%zu relays, a sick build: noticed %.1f s after its first relay served, all back %.1f s after "
         "that%s; %s\n",
         release.lab().size(), breach_after, seconds_since(moved) - breach_after,
-        noticed && back ? "" : " (NOT reached)", release.state().why.c_str());
+        noticed && back ? "" : " (NOT reached)", release.state().reason.c_str());
     return noticed && back ? 0 : 1;
   }
   const bool done = release.comes_to(Phase::done, std::chrono::seconds(600));
--- a/tools/standin/consul_agent.cpp
+++ b/tools/standin/consul_agent.cpp
@@ -43,7 +43,7 @@
 // What a blocking query waits for: an index past the one that was seen, for so long.
 std::uint64_t seen_index(const StoreRequest& r) {
   const auto it = r.query.find("index");
-  return it == r.query.end() ? 0 : whole_number(it->second, UINT64_MAX).value_or(0);
+  return it == r.query.end() ? 0 : parse_unsigned(it->second, UINT64_MAX).value_or(0);
 }
 milliseconds longest_wait(const StoreRequest& r) {
   const auto it = r.query.find("wait");
--- a/tools/standin/consul_store.cpp
+++ b/tools/standin/consul_store.cpp
@@ -31,7 +31,7 @@
 std::optional<std::uint64_t> number_in(const std::map<std::string, std::string>& query, const char* name) {
   const auto it = query.find(name);
   if (it == query.end()) return std::nullopt;
-  return whole_number(it->second, UINT64_MAX);
+  return parse_unsigned(it->second, UINT64_MAX);
 }
 
 bool same(const CatalogueHost& a, const CatalogueHost& b) {
--- a/tools/standin/load.cpp
+++ b/tools/standin/load.cpp
@@ -5,7 +5,7 @@
 #include <asio/steady_timer.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "client.hpp"
+#include "http_client.hpp"
 
 namespace fennellane::standin {
 
@@ -40,7 +40,7 @@
 
 asio::awaitable<void> Load::client(std::size_t number, steady_clock::time_point next,
                                    steady_clock::duration period) {
-  Client client(io_, relay_, limits_, 65536);
+  HttpClient client(io_, relay_, limits_, 65536);
   asio::steady_timer timer(io_);
   constexpr std::chrono::seconds kAnswer{5};
   for (std::size_t n = 0; !stopped_; ++n, next += period) {
--- a/tools/standin/partner.cpp
+++ b/tools/standin/partner.cpp
@@ -46,7 +46,7 @@
       if (stopped_.wait_for(lock, answers_after_, [this] { return stopping_; })) return;
       lock.unlock();
       reader.reset();
-      asio::write(*socket, asio::buffer(answer_text(200, false)), error);
+      asio::write(*socket, asio::buffer(format_answer(200, false)), error);
       if (error) return;
     }
   }
