--- a/tests/readme_example_test.cpp
+++ b/tests/readme_example_test.cpp
@@ -1,5 +1,5 @@
-// The README's example, built and run. The text between the marks stands in the README word for word, and
-// the second test holds the two together; .ci/run also builds it against the installed library.
+// Builds and runs the README's example. The text between the markers is the README's text word for word,
+// which the second test checks; .ci/run also builds the example against the installed library.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -42,17 +42,17 @@
   EXPECT_EQ(send.endpoint, 1u);
 }
 
-std::string text_of(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-TEST(ReadmeExample, StandsInTheReadme) {
+TEST(ReadmeExample, MatchesTheReadme) {
   const std::string root = SOURCE_ROOT;
-  const std::string source = text_of(root + "/tests/readme_example_test.cpp");
-  // In two parts each, so that these lines are not taken for the marks themselves.
+  const std::string source = read_file(root + "/tests/readme_example_test.cpp");
+  // In two parts each, so that these lines are not mistaken for the markers.
   const std::string begins =
                         "// README example "
                         "begins\n",
@@ -62,7 +62,7 @@
   const std::size_t from = source.find(begins) + begins.size();
   const std::string example = source.substr(from, source.find(ends) - from);
   ASSERT_GT(example.size(), 100u);
-  EXPECT_NE(text_of(root + "/README.md").find("```cpp\n" + example + "```"), std::string::npos);
+  EXPECT_NE(read_file(root + "/README.md").find("```cpp\n" + example + "```"), std::string::npos);
 }
 
 }  // namespace
