--- a/include/starlinghook/delivery.hpp
+++ b/include/starlinghook/delivery.hpp
@@ -1,5 +1,5 @@
-// The interface of starlinghook: settings, events, actions and the Forwarder that turns the one into the
-// other. Every decision is in src/delivery_policy.cpp; nothing here tunes it.
+// Public interface of starlinghook: settings, events, actions, and the Forwarder, which turns events into
+// actions. All decisions are made in src/delivery_policy.cpp, which also holds their constants.
 #pragma once
 
 #include <chrono>
@@ -14,13 +14,13 @@
 
 namespace starlinghook {
 
-using Time = std::chrono::microseconds;  // a point on the caller's clock, or a span
+using Time = std::chrono::microseconds;  // point in time on the caller's clock, or a duration
 using MessageId = std::uint64_t;
 using EndpointId = std::uint32_t;
 using DestinationId = std::uint32_t;
 
 enum class Effect { safe, keyed, unsafe };
-// Which endpoints of a destination drop repeats: all, or those of one zone.
+// Which endpoints of a destination drop repeats: all of them, or those of one zone.
 enum class KeyScope { all, zone };
 enum class LateWorthDecay { linear, exponential };
 
@@ -28,53 +28,53 @@
   Effect effect = Effect::unsafe;
   KeyScope key_scope = KeyScope::all;
   Time aim{};           // full worth until then
-  Time deadline{};      // from the first time the message was handed in
-  Time dedup_window{};  // keyed: repeats are dropped for this long
+  Time deadline{};      // counted from the first submission of the message
+  Time dedup_window{};  // keyed: repeats are dropped within this time
   double worth = 1;
   double late_worth = 0;    // share of the worth left at the deadline
-  bool sequential = false;  // messages with one key keep their order
+  bool sequential = false;  // messages with the same key are delivered in order
 };
 
 struct TenantSettings {
-  double rate = 0;  // messages a second inside the share, over all forwarders; 0 = no bound told
+  double rate = 0;  // messages a second within the tenant's share, over all forwarders; 0 = no limit known
 };
 
 struct KindSettings {
-  bool separate_routes = false;  // endpoints have limits, pace and outages of their own
+  bool separate_routes = false;  // each endpoint has its own limit, pace and outages
   std::size_t max_batch = 1;     // messages that may share one call
 };
 
 struct Settings {
   std::uint64_t seed = 0;
-  std::uint32_t index = 0;       // this forwarder among its peers
-  std::uint32_t forwarders = 1;  // how many there are
+  std::uint32_t index = 0;       // this forwarder's position among its peers
+  std::uint32_t forwarders = 1;  // number of forwarders, including this one
   std::uint32_t zone = 0;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::vector<KindSettings> kinds;
   LateWorthDecay late_worth_decay = LateWorthDecay::linear;
   double over_share_worth = 1;
-  std::size_t slots = 1;     // calls that may be out at once
-  std::size_t max_held = 1;  // messages that may be held, sent or not
+  std::size_t slots = 1;     // maximum number of calls in flight
+  std::size_t max_held = 1;  // maximum number of messages held, sent or not
   std::uint32_t max_attempts = 1;
   Time connect_timeout{};
   Time connection_idle_timeout{};
-  std::size_t calls_per_connection = 1;  // that one connection carries at once
-  Time max_retry_after{};                // the longest advice that a client heeds
-  Time resolution{};                     // shortest gap between two events that are not of one moment
+  std::size_t calls_per_connection = 1;  // concurrent calls on one connection
+  Time max_retry_after{};                // longest Retry-After that clients honour
+  Time resolution{};                     // shortest interval between events that count as separate in time
   Time answer_slack{};
   bool can_cancel = false;
   bool can_probe = false;
   bool can_send_retry_after = false;
-  bool list_on_request = false;    // changes come only after a watch or fetch
-  bool rates_approximate = false;  // listed rates are up to half too high or too low
+  bool list_on_request = false;    // changes arrive only after a WatchList or FetchList
+  bool rates_approximate = false;  // listed rates may be half too high or too low
   double cross_zone_price = 0;
   double probe_price = 0;
-  bool reports_allowance = false;  // outcomes carry the allowance left and the limit
-  // Figures of the rules.
+  bool reports_allowance = false;  // outcomes report the remaining allowance and the limit
+  // Parameters of the delivery rules.
   Time drain_grace{};
-  Time slow_start_time{};           // after an outage all capacity is back by then
-  double slow_start_min_share = 1;  // share of its capacity that a destination has at its return
+  Time slow_start_time{};           // capacity is fully restored this long after an outage
+  double slow_start_min_share = 1;  // share of its capacity that a destination has when it returns
   double overload_factor = 1;
   Time overload_window{};
   Time key_quiet_time{};
@@ -88,7 +88,7 @@
   DestinationId destination = 0;
   std::uint32_t zone = 0;
   std::uint32_t kind = 0;
-  double rate = 0;  // calls a second from all forwarders; 0 = not told
+  double rate = 0;  // calls a second from all forwarders; 0 = unknown
   Condition condition = Condition::ready;
 };
 
@@ -108,12 +108,12 @@
   DestinationId destination = 0;
   std::uint64_t key = 0;
   Time time_left{};
-  // What an earlier life of the caller did for it; all zero for a message that is new.
+  // What a previous process of the caller did for the message; all zero for a new message.
   std::uint32_t attempts = 0;
   bool may_have_run = false;
-  Time uncertain_age{};  // since the first attempt that may have run was sent
+  Time uncertain_age{};  // time since the start of the first attempt that may have run
   std::uint32_t uncertain_zone = 0;
-  // Others that are held as well are told right after it: nothing is sent, or given up, before all are known.
+  // More held messages follow right after this one: nothing is sent or given up before all are known.
   bool more_follow = false;
 };
 struct MessageDropped {
@@ -125,15 +125,16 @@
   EndpointId endpoint = 0;
   Outcome outcome = Outcome::error;
   bool finished = false;  // the message has its final answer
-  Time retry_after{};     // full: wait told by the destination; 0 = none
-  bool no_slot = false;   // not_sent: every slot was taken
+  Time retry_after{};     // full: wait requested by the destination; 0 = none
+  bool no_slot = false;   // not_sent: every slot was in use
   LoadReport report;
-  // What the caller's connection showed.
-  // A failure that tells of its connection alone: that was up and broke; full: it found no place.
+  // What the caller observed on the connection. `connection_only` is set for a failure that concerns only its
+  // connection: the connection was up and broke, or (full) the endpoint had no room for it.
   bool connection_only = false;
-  Time connection_idle{-1};        // of the connection before the call; 0 = a new one, less = not told
-  bool connection_closed = false;  // it carries no other call, however this one ended
-  bool close_requested = false;    // by the call: that it closed tells nothing
+  // Idle time of the connection before the call; 0 = new connection, negative = unknown.
+  Time connection_idle{-1};
+  bool connection_closed = false;  // the connection carries no further calls, whatever this outcome
+  bool close_requested = false;    // the call asked for the close, so the close carries no information
 };
 struct ProbeEnded {
   EndpointId endpoint = 0;
@@ -142,24 +143,25 @@
   LoadReport report;
 };
 struct ListChanged {
-  bool full = false;    // replaces the list; what is not in it is gone
-  bool cached = false;  // saved by an earlier life, maybe old
+  bool full = false;    // replaces the list; endpoints not in it are gone
+  bool cached = false;  // saved by a previous process and possibly out of date
   std::vector<EndpointEntry> entries;
 };
 struct ListFailed {};
 struct TimerExpired {
   std::uint64_t label = 0;
 };
-struct ShutdownScheduled {  // the process ends at that moment; what is held goes to its next life
+struct ShutdownScheduled {  // the process ends at that time; the next process takes over the held messages
   Time at{};
 };
-// The forwarders together rest as many endpoints as they may: failures of these let none of them rest, and
-// only what a cold destination stands bounds their calls. Replaces the one before; empty: no such bound.
+// The fleet has reached its cap on endpoints in backoff: failures of the exempt endpoints put none of them
+// into backoff, and only their slow-start budget limits calls to them. Replaces the previous event; empty: no
+// endpoint is exempt.
 struct BackoffCapped {
   std::vector<EndpointId> exempt;
 };
-// Whether the caller can record attempts. While it can't, no message is sent whose effect must not be
-// doubled: after a restart nobody would know of the attempt.
+// Whether the caller can record attempts. While it cannot, no message is sent whose effect must not be
+// repeated: after a restart nobody would know of the attempt.
 struct RecordingChanged {
   bool available = true;
 };
@@ -171,13 +173,15 @@
   MessageId id = 0;
   EndpointId endpoint = 0;
   Time timeout{};
-  Time max_idle = Time::max();      // a connection that has stood idle for longer is not used
-  Time begin_within = Time::max();  // the call's first byte is written by then, or none is
+  Time max_idle = Time::max();  // a connection that has been idle for longer is not used
+  // The call's first byte is written within this time, or the call is not made.
+  Time begin_within = Time::max();
 };
-// Why a message is given up: to make room for others, since no call would end in time, after its last
-// attempt, since one may have run and none may follow, or since it was answered when its time was up.
+// Why a message is given up: to free capacity, because no call would end before the deadline, after its last
+// attempt, because an attempt may have run and must not be repeated, or because the answer came after the
+// deadline.
 enum class GiveUpReason { none, capacity, deadline, attempts, uncertain, answered_late };
-struct Refuse {  // undelivered, may safely come again
+struct Refuse {  // undelivered; may safely be submitted again
   MessageId id = 0;
   Time retry_after{};
   GiveUpReason reason = GiveUpReason::none;
@@ -197,7 +201,7 @@
   Time at{};
   std::uint64_t label = 0;
 };
-struct CloseIdleConnections {  // idle connections of this forwarder to an endpoint
+struct CloseIdleConnections {  // the forwarder's idle connections to an endpoint
   EndpointId endpoint = 0;
 };
 struct WatchList {};
@@ -208,8 +212,8 @@
 using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdleConnections, SetTimer, WatchList,
                             FetchList, LogMessage>;
 
-// What a forwarder has learnt of an endpoint that the list calls ready and that is not given its full pace:
-// it rests, is cold after an outage, or answers tell of less than half of its limit.
+// An endpoint that the list calls ready but that does not get its full pace: it is failing and in backoff, in
+// slow start after an outage, or its answers report less than half of its limit.
 enum class DegradationKind { failing, slow_start, reduced_limit };
 struct DegradedEndpoint {
   EndpointId endpoint = 0;
@@ -229,20 +233,21 @@
   Forwarder(Forwarder&&) noexcept;
   Forwarder& operator=(Forwarder&&) noexcept;
 
-  // The first moment of this life, before any event.
+  // Starts the forwarder; must precede any event.
   void start(Time now, std::vector<Action>& actions);
-  // One event; time never goes backwards. Actions are appended in the order in which they are to be carried
-  // out.
+  // Handles one event; `now` must not decrease. Appends actions in the order in which they are to be
+  // executed.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  // How much it remembers: messages, calls, endpoints and keys.
+  // Number of records held: messages, calls, endpoints and keys.
   std::size_t record_count() const;
   // As of the newest event.
   std::vector<DegradedEndpoint> degraded_endpoints() const;
 
-  // All that it remembers, as bytes; of no use to another version.
+  // Serializes the complete state. Only the same snapshot version can read it.
   std::string save() const;
-  // A forwarder that goes on exactly where the saved one stood. `settings` may differ where it does not
-  // matter to what is held. Throws MemoryError for bytes of another version, or that do not fit.
+  // Restores a forwarder that continues exactly where the saved one stopped. `settings` may differ where held
+  // state does not depend on them. Throws SnapshotError if the bytes are of another version or do not match
+  // the settings.
   static Forwarder load(const Settings& settings, std::string_view bytes);
 
  private:
--- a/src/delivery_policy.cpp
+++ b/src/delivery_policy.cpp
@@ -1,4 +1,5 @@
-// Every decision of the module. docs/design.md tells the ordinary path; what goes beyond it is marked here.
+// All decisions of the library. docs/design.md describes the ordinary path; what goes beyond it is explained
+// in comments here.
 #include <algorithm>
 #include <array>
 #include <bit>
@@ -19,67 +20,96 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kBackoffMultiplierPerAim =
-    0.25;  // multiplier of the linear wait, as a share of the class's aim
-constexpr Time kMaxBackoffMultiplier = milliseconds(1500);  // and at most the source's own 1.5 s
-constexpr double kMaxWindowSlotShare = 0.75;  // share of the slots that one destination may hold
-constexpr double kMaxUnhealthySlotShare =
-    0.5;                              // share of the slots that all failing destinations may hold together
-constexpr int kMaxBackoffFactor = 4;  // a failing destination rests multiplier x failures, up to so many
-constexpr int kUnhealthyConsecutiveFailures =
-    3;  // failures in a row that make a destination count as failing
-constexpr double kUnhealthyFailureShare =
-    0.5;  // share of failures that does so, and above which it is still failing
-constexpr double kFailureShareWeight = 0.25;  // weight of the newest outcome in the share of failures
-constexpr double kMaxUncertainShareForUnsafe =
-    0.2;  // share of doubtful failures above which unsafe messages are held back
-constexpr int kUnavailableConsecutiveRefusals =
-    5;  // refusals without a success between them that tell a shut destination
-constexpr double kLatencyWeight = 0.125;  // weight of the newest answer in the mean time of an answer
-constexpr double kStallDeviations = 6;    // a call is late after mean + so many mean deviations
-constexpr double kTimeoutStallTimes = 3;  // a repeatable call is timed out after so many times that
-constexpr double kUnansweredShareWeight =
-    0.1;  // weight of the newest overdue call in the share of those never answered
-constexpr double kUnansweredShareHalfLifeSeconds = 10;  // seconds in which that share halves
-constexpr double kPaceDecreaseFactor = 0.75;  // part of the pace kept after a refusal above the limit
-constexpr double kPaceIncrease = 0.02, kFleetPaceIncrease = 0.08;  // by a delivery; by one at each forwarder
-constexpr std::uint32_t kManyForwarders = 10;  // so many forwarders see too little each to find their parts
-constexpr double kMaxInitialEvenShares = 4;  // even parts that one of many may take before it is told of less
-constexpr double kMinPaceDivisor = 8;        // part of the even part kept where all is refused
-constexpr double kAllowanceAvailable = 0.3,
-                 kAllowanceExhausted = 0.1;  // of an allowance: over the one more is asked for
-constexpr double kPaceStepAboveShare = 0.1,
-                 kPaceStepBelowShare = 0.4;     // by so much, each answer, and up to the even part
-constexpr double kLimitChangeThreshold = 0.25;  // a limit that differs by more is another one
-constexpr double kBatchBurstFactor = 2;         // longer bursts where a call may carry several messages
-constexpr double kBurstSeconds = 0.5;           // calls that may leave at once, in seconds of the pace
-constexpr double kApproximateRateFactor = 1.5;  // a rough rate may be this many times too high
-constexpr double kCapacityReserve = 0.1;        // share of the holding room kept free for what comes next
-constexpr double kMaxSlowStartShare =
-    0.66;  // of a cold destination's budget that one forwarder earns at most
-constexpr double kBacklogDeviations =
-    5;  // an outage may hold so many spreads more messages than the rate tells
-constexpr double kMinCallsPerSecondEach =
-    0.1;  // many share a limit when their even part is under so many calls a second
-constexpr double kAssumedUtilization = 0.8;  // all traffic is taken to be this share of all listed rates
-constexpr int kConnectionFindingIdleTimeouts =
-    4;  // connections are kept for this part of the idle time that failed
-constexpr double kMinConnectionUtilization = 0.5;  // a connection that is in use for less of the time
-constexpr Time kMinIdleBucket = milliseconds(25);  // idle times are told apart from here on, by twos
-constexpr double kLossShareWeight =
-    0.02;                            // weight of the newest call in the share lost with their connection
-constexpr double kMinLostCalls = 3;  // so many lost calls tell a risk
-constexpr double kMaxExcessLossShare =
-    0.08;  // share of lost calls over that on new connections that is avoided
-constexpr int kTurnSpacingGrowth =
-    4;  // each refusal makes the spread of turns so many times wider, and keeps them
-constexpr Time kMaxCheckInterval = milliseconds(100);  // at what waits for a destination, at the latest
-constexpr std::size_t kMaxLogMessages = 60;            // log lines in one life at most
-
-constexpr double kSlowAnswerFactor =
-    3;  // a destination that takes so many times the usual may hold half the slots
+// Multiplier of the linear backoff, as a share of the class's aim.
+constexpr double kBackoffMultiplierPerAim = 0.25;
+// Upper bound of that multiplier: the 1.5 s of the algorithm that the linear backoff is taken from.
+constexpr Time kMaxBackoffMultiplier = milliseconds(1500);
+// Share of the call slots that one destination may hold.
+constexpr double kMaxWindowSlotShare = 0.75;
+// Share of the call slots that all unhealthy destinations together may hold.
+constexpr double kMaxUnhealthySlotShare = 0.5;
+// A failing destination backs off for multiplier x consecutive failures, with the failures capped at this.
+constexpr int kMaxBackoffFactor = 4;
+// Consecutive failures that make a destination unhealthy.
+constexpr int kUnhealthyConsecutiveFailures = 3;
+// Share of failures that makes a destination unhealthy, and at or above which a failure restarts its outage.
+constexpr double kUnhealthyFailureShare = 0.5;
+// Weight of the newest outcome in the failure share.
+constexpr double kFailureShareWeight = 0.25;
+// Share of failures with unknown effect above which unsafe messages are held back.
+constexpr double kMaxUncertainShareForUnsafe = 0.2;
+// Refusals without a success between them that show a destination to be unavailable, not just at its limit.
+constexpr int kUnavailableConsecutiveRefusals = 5;
+// Weight of the newest answer in the mean answer time.
+constexpr double kLatencyWeight = 0.125;
+// A call is overdue after the mean answer time plus this many mean deviations.
+constexpr double kStallDeviations = 6;
+// A repeatable call times out after this many times its stall time.
+constexpr double kTimeoutStallTimes = 3;
+// Weight of the newest overdue call in the share of overdue calls that are never answered.
+constexpr double kUnansweredShareWeight = 0.1;
+// Half-life of that share, in seconds.
+constexpr double kUnansweredShareHalfLifeSeconds = 10;
+// Factor applied to the pace after a refusal above the limit.
+constexpr double kPaceDecreaseFactor = 0.75;
+// Increase of the pace share per delivery, and its upper bound if each forwarder gets one delivery.
+constexpr double kPaceIncrease = 0.02, kFleetPaceIncrease = 0.08;
+// From this many forwarders on, each sees too few answers to find its own part of a limit.
+constexpr std::uint32_t kManyForwarders = 10;
+// Even shares that one of many forwarders may use until answers report less.
+constexpr double kMaxInitialEvenShares = 4;
+// With many forwarders, a pace under constant refusals is at least the even share divided by this.
+constexpr double kMinPaceDivisor = 8;
+// Beyond the even share, the pace grows while answers report more than this share of the allowance left.
+constexpr double kAllowanceAvailable = 0.3;
+// Beyond the even share, the pace is reduced when answers report less than this share of the allowance left.
+constexpr double kAllowanceExhausted = 0.1;
+// Relative change of the pace per answer, up or down, beyond the even share.
+constexpr double kPaceStepAboveShare = 0.1;
+// Relative increase of the pace per answer below the even share.
+constexpr double kPaceStepBelowShare = 0.4;
+// Relative difference from which a reported limit counts as a different limit.
+constexpr double kLimitChangeThreshold = 0.25;
+// Factor on burst length where one call may carry several messages.
+constexpr double kBatchBurstFactor = 2;
+// Calls that may be sent at once, in seconds of the pace.
+constexpr double kBurstSeconds = 0.5;
+// Factor by which an approximate listed rate may be too high.
+constexpr double kApproximateRateFactor = 1.5;
+// Share of the message capacity that is kept free for new messages.
+constexpr double kCapacityReserve = 0.1;
+// Share of a slow-start budget that one forwarder can earn at most.
+constexpr double kMaxSlowStartShare = 0.66;
+// Standard deviations by which the backlog of an outage may exceed what the rate suggests.
+constexpr double kBacklogDeviations = 5;
+// A limit is oversubscribed when the even share of a forwarder is below this many calls a second.
+constexpr double kMinCallsPerSecondEach = 0.1;
+// Total traffic is assumed to be this share of all listed rates.
+constexpr double kAssumedUtilization = 0.8;
+// Findings about connections (a connection limit, losses on idle ones) hold for this many idle timeouts.
+constexpr int kConnectionFindingIdleTimeouts = 4;
+// A connection that is in use for less than this share of the time counts as mostly idle.
+constexpr double kMinConnectionUtilization = 0.5;
+// Upper bound of the shortest class of idle times; each further class is twice as long.
+constexpr Time kMinIdleBucket = milliseconds(25);
+// Weight of the newest call in the share of calls lost with their connection.
+constexpr double kLossShareWeight = 0.02;
+// Lost calls needed before a class of idle times is judged.
+constexpr double kMinLostCalls = 3;
+// Share of lost calls, beyond that on new connections, from which idle connections are avoided.
+constexpr double kMaxExcessLossShare = 0.08;
+// Each further refusal raises the least spacing of turns by this factor; turns apply for as many spacings.
+constexpr int kTurnSpacingGrowth = 4;
+// The messages that wait for a destination are checked again at the latest after this time.
+constexpr Time kMaxCheckInterval = milliseconds(100);
+// Log messages per process.
+constexpr std::size_t kMaxLogMessages = 60;
+
+// A destination whose answers take this many times the usual time may hold half the slots.
+constexpr double kSlowAnswerFactor = 3;
 constexpr double kNoLimit = 1e9;
-constexpr int kConnectionRetryDivisor = 4;  // one more call is tried after this part of the overload time
+// One more call is tried after the overload window divided by this.
+constexpr int kConnectionRetryDivisor = 4;
 constexpr Time kNever = Time::max(), kLongAgo = Time::min() / 2;
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
@@ -88,40 +118,40 @@
   return std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(slots) * share));
 }
 
-// Destination memory: what calls have told of the health of an endpoint, or of a route as a whole.
+// What the outcomes of calls show about the health of an endpoint, or of a route as a whole.
 struct Health {
-  int consecutive_failures = 0;  // failures since the last success
-  int consecutive_refusals = 0;  // refusals since the last success
-  Time refused_since{};          // when that run of refusals began
-  double failure_share = 0;      // recent share of failures
+  int consecutive_failures = 0;  // since the last success
+  int consecutive_refusals = 0;  // since the last success
+  Time refused_since{};          // first of the consecutive refusals
+  double failure_share = 0;      // recent, 0 to 1
   double uncertain_share = 0;    // recent share of failures that may have taken effect
-  bool unhealthy = false;        // in an outage, or cold after it
-  double earned_calls = 0;  // calls added to the cold budget by successes since the last failure or refusal
+  bool unhealthy = false;        // in an outage or in the slow start after it
+  double earned_calls = 0;  // added to the slow-start budget by successes since the last failure or refusal
   Time backoff_until = kLongAgo, last_success = kLongAgo;
-  std::optional<Time> recovering_since;  // first success after the last failure; starts the cold time
+  std::optional<Time> recovering_since;  // first success after the last failure; begins the slow start
   Time failing_since{};
-  Time last_probe_call = kLongAgo;  // where many share the cold budget
-  double probe_call_turns = 0;      // of others before the next, for one waiting message
-  std::vector<Time> recent_calls;   // calls of the last overload_time
+  Time last_probe_call = kLongAgo;  // used where many forwarders share the slow-start budget
+  double probe_call_turns = 0;  // calls of other forwarders before the next probe call, per waiting message
+  std::vector<Time> recent_calls;  // those within the overload window
 };
 
 struct Route {
-  double rate = 0;      // calls a second from all forwarders, as listed or reported; 0 = not told
-  bool listed = false;  // by the list
-  double arrivals = 0;  // messages of this life that it could take
+  double rate = 0;      // calls a second from all forwarders, as listed or reported; 0 = unknown
+  bool listed = false;  // whether the list names a rate
+  double arrivals = 0;  // messages since the start of the process that this route could take
   Health health;
   std::size_t in_flight = 0;
   double window = 1;  // congestion window, in calls
   Time last_window_cut = kLongAgo, last_pace_cut = kLongAgo;
-  Time wait_until = kLongAgo;  // told by the destination
-  double reported_limit = 0;   // limit that answers report; holds where clearly under a listed rate
-  double pace_share = 1;       // of the limit
+  Time wait_until = kLongAgo;  // as requested by the destination
+  double reported_limit = 0;   // limit reported by answers; applies where clearly below the listed rate
+  double pace_share = 1;       // share of the limit
   double burst_seconds = kBurstSeconds;
   double tokens = 1;
   Time tokens_updated_at = kLongAgo;
-  Time last_refusal = kLongAgo;                  // the newest refusal, where many share the limit
-  Time next_turn = kLongAgo;                     // this forwarder's next call after it
-  Time turn_spacing{};                           // between its turns
+  Time last_refusal = kLongAgo;  // newest refusal, where forwarders oversubscribe the limit
+  Time next_turn = kLongAgo;     // earliest time of this forwarder's next call after that refusal
+  Time turn_spacing{};           // interval between its calls
   double answer_mean = 0, answer_deviation = 0;  // seconds; 0 until the first answer
 };
 
@@ -129,24 +159,24 @@
   EndpointEntry entry;
   Route* route = nullptr;
   Health health;
-  std::multiset<Time> in_flight;  // calls in flight, by the time they were sent
+  std::multiset<Time> in_flight;  // calls, by the time they were sent
   std::size_t connections = 0;
-  double max_in_flight = kNoLimit;           // calls that its limit on connections leaves room for
-  Time connections_full_at = kLongAgo;       // when that was seen last
-  Time connection_retry_interval = Time(1);  // from then on one more call is tried after each such time
+  double max_in_flight = kNoLimit;           // calls that the endpoint's connection limit leaves room for
+  Time connections_full_at = kLongAgo;       // when that limit was last observed
+  Time connection_retry_interval = Time(1);  // one more call is tried after each such interval
   Time last_used = kLongAgo;
-  std::uint64_t tie_breaker = 0;  // decides between equals, another order at each forwarder
+  std::uint64_t tie_breaker = 0;  // decides between equal endpoints; differs between forwarders
 };
 
 struct Message {
   MessageArrived arrival;
   const ClassSettings* class_settings = nullptr;
-  Time first_submitted{};  // by the client for the first time
+  Time first_submitted{};  // by the client
   Time deadline{};
-  Time not_before{};  // backoff or told wait
+  Time not_before{};  // backoff or requested wait
   bool ended = false, may_have_run = false;
   std::uint32_t attempts = 0;
-  Time uncertain_since{};  // send of the first attempt that may have run
+  Time uncertain_since{};  // start of the first attempt that may have run
   std::uint32_t uncertain_zone = 0;
   Time sent_at{};
   std::size_t call_id = 0;
@@ -155,26 +185,26 @@
 struct Call {
   EndpointId endpoint = 0;
   Time sent_at{};
-  std::size_t messages = 0;  // messages in it
-  std::size_t pending = 0;   // of these without an outcome
-  bool unsafe = false;       // carries a message that cannot be repeated
+  std::size_t messages = 0;
+  std::size_t pending = 0;  // messages without an outcome
+  bool unsafe = false;      // carries a message that cannot be repeated
   bool cancelled = false;
 };
 
-// Calls that were lost because their connection broke, among those that went over connections of one kind.
+// Share of calls lost because their connection broke, for connections of one class of idle times.
 struct ConnectionLoss {
   double calls = 0, lost = 0;
   double share() const { return lost / std::max(1.0, calls); }
 };
 
 struct KeyQueue {
-  std::deque<MessageId> messages;  // in the order of arrival
+  std::deque<MessageId> messages;  // in order of arrival
   Time quiet_until = kLongAgo;
 };
 
 struct Destination {
-  std::vector<Message*> waiting;  // they stay where they are
-  Time next_check = kLongAgo;     // when one that waits may have to be given up, or sooner
+  std::vector<Message*> waiting;  // pointers into Policy::messages_, whose elements do not move
+  Time next_check = kLongAgo;     // earliest time at which a waiting message may have to be given up
   std::set<EndpointId> endpoints;
 };
 
@@ -184,9 +214,9 @@
  public:
   explicit Policy(const Settings& s) : s_(s), random_(s.seed) {}
 
-  void start(Time now, std::vector<Action>& out) {
+  void start(Time now, std::vector<Action>& actions) {
     now_ = started_ = now;
-    actions_ = &out;
+    actions_ = &actions;
     if (s_.list_on_request) request_list();
     set_timer();
   }
@@ -194,28 +224,28 @@
   template <class A>
   void serialize_state(A& archive);
   std::vector<DegradedEndpoint> degraded_endpoints() const {
-    std::vector<DegradedEndpoint> all;
+    std::vector<DegradedEndpoint> result;
     for (const auto& [id, e] : endpoints_) {
       const Route& r = *e.route;
       const bool fails = failing(e.health) || failing(r.health),
-                 cold = e.health.unhealthy || r.health.unhealthy;
-      if (e.entry.condition != Condition::ready || !(fails || cold || effective_limit(r) * 2 < r.rate))
+                 recovering = e.health.unhealthy || r.health.unhealthy;
+      if (e.entry.condition != Condition::ready || !(fails || recovering || effective_limit(r) * 2 < r.rate))
         continue;
-      all.push_back({id,
-                     fails  ? DegradationKind::failing
-                     : cold ? DegradationKind::slow_start
-                            : DegradationKind::reduced_limit,
-                     e.health.failure_share});
+      result.push_back({id,
+                        fails        ? DegradationKind::failing
+                        : recovering ? DegradationKind::slow_start
+                                     : DegradationKind::reduced_limit,
+                        e.health.failure_share});
     }
-    return all;
+    return result;
   }
   std::size_t record_count() const {
     return messages_.size() + calls_.size() + endpoints_.size() + keys_.size();
   }
 
-  void handle(Time now, const Event& event, std::vector<Action>& out) {
+  void handle(Time now, const Event& event, std::vector<Action>& actions) {
     now_ = now;
-    actions_ = &out;
+    actions_ = &actions;
     std::visit([this](const auto& e) { on(e); }, event);
     remove_stale_entries();
     const auto* const arrived = std::get_if<MessageArrived>(&event);
@@ -283,35 +313,36 @@
     record_connection_loss(e);
     if (--call->second.pending == 0) finish_call(call->first, e);
     m.call_id = 0;
-    bool doubtful = e.outcome == Outcome::error || e.outcome == Outcome::timeout ||
-                    e.outcome == Outcome::reset || e.outcome == Outcome::cancelled;
-    if (doubtful && !m.may_have_run) {
+    bool effect_unknown = e.outcome == Outcome::error || e.outcome == Outcome::timeout ||
+                          e.outcome == Outcome::reset || e.outcome == Outcome::cancelled;
+    if (effect_unknown && !m.may_have_run) {
       m.may_have_run = true;
       m.uncertain_since = m.sent_at;
       m.uncertain_zone = endpoint.entry.zone;
     }
-    if (m.class_settings->sequential && m.arrival.key != 0 && doubtful && e.outcome != Outcome::error) {
-      Time& quiet = keys_[m.arrival.key].quiet_until;  // the work may still go on
-      quiet = std::max(quiet, now_ + s_.key_quiet_time);
+    if (m.class_settings->sequential && m.arrival.key != 0 && effect_unknown && e.outcome != Outcome::error) {
+      Time& quiet_until = keys_[m.arrival.key].quiet_until;  // the work may still be running
+      quiet_until = std::max(quiet_until, now_ + s_.key_quiet_time);
     }
-    if (e.outcome == Outcome::not_sent) endpoint.route->tokens += 1;  // it used nothing of the limit up
+    if (e.outcome == Outcome::not_sent) endpoint.route->tokens += 1;  // the call used none of the limit
     if (e.finished || m.ended) return end(m);
-    // The linear wait of the source, or the wait told.
+    // Linear backoff, or the wait that the destination requested.
     m.not_before =
         now_ + (e.retry_after > Time(0) ? e.retry_after : backoff_multiplier(*m.class_settings) * m.attempts);
-    const bool no_place = e.outcome == Outcome::full && endpoint.connections_full_at == now_;
-    if (e.outcome == Outcome::not_sent || no_place) m.not_before = now_ + s_.resolution;
+    const bool no_room = e.outcome == Outcome::full && endpoint.connections_full_at == now_;
+    if (e.outcome == Outcome::not_sent || no_room) m.not_before = now_ + s_.resolution;
     enqueue(m);
   }
 
-  void on(const ProbeEnded& e) { endpoints_.at(e.endpoint); }  // none is sent: relays may not probe
+  // Relays cannot probe, so no Probe is ever sent.
+  void on(const ProbeEnded& e) { endpoints_.at(e.endpoint); }
 
   void on(const ListChanged& e) {
     if (e.full) {
-      std::set<EndpointId> named;
-      for (const EndpointEntry& entry : e.entries) named.insert(entry.endpoint);
+      std::set<EndpointId> listed;
+      for (const EndpointEntry& entry : e.entries) listed.insert(entry.endpoint);
       for (auto& [id, endpoint] : endpoints_) {
-        if (named.count(id)) continue;
+        if (listed.count(id)) continue;
         endpoint.entry.condition = Condition::gone;
         removed_.insert(id);
       }
@@ -322,18 +353,20 @@
       Endpoint& endpoint = endpoints_[entry.endpoint];
       if (endpoint.route == nullptr) endpoint.tie_breaker = random_();
       if (endpoint.route) destinations_[endpoint.entry.destination].endpoints.erase(entry.endpoint);
-      // Guards an endpoint whose drain is taken back, as by a health check: it may be cold. Shortens nothing.
-      const bool up = endpoint.entry.condition == Condition::draining && entry.condition == Condition::ready;
-      if (up && !failing(endpoint.health))
+      // An endpoint whose drain is withdrawn, as by a health check, may have restarted: it begins a slow
+      // start. This does not shorten a backoff.
+      const bool drain_withdrawn =
+          endpoint.entry.condition == Condition::draining && entry.condition == Condition::ready;
+      if (drain_withdrawn && !failing(endpoint.health))
         endpoint.health.unhealthy = true, endpoint.health.recovering_since = now_;
       endpoint.entry = entry;
       if (entry.condition == Condition::gone) removed_.insert(entry.endpoint);
       endpoint.route = &routes_[key];
-      const bool batches = entry.kind < s_.kinds.size() && s_.kinds[entry.kind].max_batch > 1;
-      endpoint.route->burst_seconds = batches ? kBurstSeconds * kBatchBurstFactor : kBurstSeconds;
+      const bool batching = entry.kind < s_.kinds.size() && s_.kinds[entry.kind].max_batch > 1;
+      endpoint.route->burst_seconds = batching ? kBurstSeconds * kBatchBurstFactor : kBurstSeconds;
       if (entry.rate > 0) {
         listed_rate_ += entry.rate - endpoint.route->rate;
-        endpoint.route->rate = entry.rate;  // a removal need not repeat it
+        endpoint.route->rate = entry.rate;  // a removal may omit the rate
         if (!std::exchange(endpoint.route->listed, true) && many_forwarders(*endpoint.route))
           endpoint.route->pace_share = std::min(1.0, even_share() * kMaxInitialEvenShares);
       }
@@ -343,7 +376,7 @@
     list_failures_ = 0;
   }
 
-  // Guards the memory of a long life. A destination's health stays with its route.
+  // Bounds the memory of a long-running process. A destination's health stays with its route.
   void remove_stale_entries() {
     std::erase_if(removed_, [this](EndpointId id) {
       const Endpoint& e = endpoints_.at(id);
@@ -383,10 +416,11 @@
   void record_outcome(Endpoint& endpoint, const AttemptEnded& e, Time sent_at) {
     const bool before = failing(endpoint.health), route_before = failing(endpoint.route->health);
     apply_outcome(endpoint, e, sent_at);
-    const bool after = failing(endpoint.health), whole = failing(endpoint.route->health) != route_before;
-    if (after == before && !whole) return;
+    const bool after = failing(endpoint.health),
+               route_changed = failing(endpoint.route->health) != route_before;
+    if (after == before && !route_changed) return;
     log("endpoint " + std::to_string(endpoint.entry.endpoint) +
-        (before ? " answers again: slow start" : " failing: rests, trials only"));
+        (before ? " answers again: slow start" : " is failing: backs off, probe calls only"));
   }
 
   void apply_outcome(Endpoint& endpoint, const AttemptEnded& e, Time sent_at) {
@@ -401,7 +435,7 @@
         adjust_pace(route, e.report);
         break;
       case Outcome::full:
-        // Guards against an endpoint's limit on connections being taken for one on calls: it says so, or a
+        // A limit on connections must not be taken for a limit on calls. The outcome says which it is, or a
         // new connection is refused and closed while others of this forwarder work.
         if (e.connection_only || (may_be_connection_limit(e) && endpoint.in_flight.size() > 1)) {
           endpoint.max_in_flight = static_cast<double>(endpoint.in_flight.size()) - 1;
@@ -424,16 +458,16 @@
       case Outcome::error:
       case Outcome::reset:
       case Outcome::connect_failed: {
-        // A time-out beside calls that were answered meanwhile is a slow message, no sign of an outage.
+        // A time-out while other calls were answered is a slow message, not a sign of an outage.
         if (e.outcome == Outcome::timeout && endpoint.health.last_success > sent_at) break;
-        // Guards against connections that break being taken for an outage: a kept one tells nothing, since
-        // the next call opens a new one; a new one that came up is no refused one.
+        // Broken connections must not be taken for an outage: an idle one that breaks shows nothing, since
+        // the next call opens a new one, and a new one that came up was not refused.
         if (e.connection_only && e.connection_idle > Time(0)) break;
-        const Outcome sign = e.connection_only ? Outcome::error : e.outcome;
-        record_failure(endpoint.health, sign, route.rate);
-        if (sign != Outcome::connect_failed || !has_working_sibling(endpoint))
-          record_failure(route.health, sign, route.rate);
-        if (sign != Outcome::error) shrink_window(route, sent_at);
+        const Outcome health_outcome = e.connection_only ? Outcome::error : e.outcome;
+        record_failure(endpoint.health, health_outcome, route.rate);
+        if (health_outcome != Outcome::connect_failed || !has_working_sibling(endpoint))
+          record_failure(route.health, health_outcome, route.rate);
+        if (health_outcome != Outcome::error) shrink_window(route, sent_at);
         break;
       }
       default:
@@ -441,13 +475,13 @@
     }
   }
 
-  // Whether a refusal may be one of a new connection: it closed unasked behind the answer, which says nothing
-  // of load.
+  // Whether a refusal may be of a new connection: the endpoint closed it unasked after the answer, and the
+  // answer says nothing of load.
   static bool may_be_connection_limit(const AttemptEnded& e) {
     const bool closed_unasked = e.connection_closed && !e.close_requested;
     return e.connection_idle == Time(0) && closed_unasked && e.retry_after == Time(0) && !e.report.present;
   }
-  // Guards against a whole destination resting for one endpoint that is gone before the list has told it.
+  // Without this, a whole destination would back off for one endpoint that is gone before the list says so.
   bool has_working_sibling(const Endpoint& gone) const {
     const auto& all = destinations_.at(gone.entry.destination).endpoints;
     return std::any_of(all.begin(), all.end(), [&](EndpointId id) {
@@ -456,46 +490,51 @@
              e.health.last_success > kLongAgo;
     });
   }
-  // Guards against kept connections that are dropped unseen after a short idle time: from where calls are
-  // lost on them clearly more often than on new ones, new ones are opened, for a while.
+  // Idle connections may be dropped by the other side unnoticed. From the idle time on at which they lose
+  // calls clearly more often than new connections do, new ones are opened instead, for a while.
   void record_connection_loss(const AttemptEnded& e) {
     if (e.connection_idle < Time(0) || !(answered(e.outcome) || e.connection_only)) return;
-    const std::size_t twos = std::bit_width(static_cast<std::uint64_t>(e.connection_idle / kMinIdleBucket));
-    ConnectionLoss& risk = e.connection_idle == Time(0)
-                               ? new_connection_losses_
-                               : idle_connection_losses_[std::min(twos, idle_connection_losses_.size() - 1)];
-    risk.calls += 1 - kLossShareWeight * risk.calls;
+    const std::size_t bucket = std::bit_width(static_cast<std::uint64_t>(e.connection_idle / kMinIdleBucket));
+    ConnectionLoss& losses =
+        e.connection_idle == Time(0)
+            ? new_connection_losses_
+            : idle_connection_losses_[std::min(bucket, idle_connection_losses_.size() - 1)];
+    losses.calls += 1 - kLossShareWeight * losses.calls;
     const bool lost = e.connection_only && e.outcome != Outcome::full;
-    risk.lost += (lost ? 1 : 0) - kLossShareWeight * risk.lost;
+    losses.lost += (lost ? 1 : 0) - kLossShareWeight * losses.lost;
     if (lost) last_connection_loss_ = now_;
   }
   Time max_idle() {
     if (last_connection_loss_ + s_.connection_idle_timeout * kConnectionFindingIdleTimeouts < now_)
-      idle_connection_losses_ = {};  // looked at anew after a while
-    Time least = kMinIdleBucket / 2;
-    for (const ConnectionLoss& risk : idle_connection_losses_) {
-      if (risk.lost >= kMinLostCalls && risk.share() > new_connection_losses_.share() + kMaxExcessLossShare)
-        return least;
-      least *= 2;
+      idle_connection_losses_ = {};  // tried again after a while
+    Time bound = kMinIdleBucket / 2;
+    for (const ConnectionLoss& losses : idle_connection_losses_) {
+      if (losses.lost >= kMinLostCalls &&
+          losses.share() > new_connection_losses_.share() + kMaxExcessLossShare)
+        return bound;
+      bound *= 2;
     }
     return kNever;
   }
 
-  // Guards against very many forwarders striking a small limit, or a shut destination, with few calls each:
-  // turns spread with each refusal, to an even part and, refused twice, to what a cold destination stands.
+  // Very many forwarders could overrun a small limit, or an unavailable destination, with few calls each.
+  // Turns spread out with each refusal: up to an even share and, after two refusals, to what a destination in
+  // slow start can take. An unknown rate counts as oversubscribed.
   bool oversubscribed(const Route& r) const {
-    return s_.forwarders > 1 &&
-           r.rate < kMinCallsPerSecondEach * s_.forwarders;  // also where no rate is told
+    return s_.forwarders > 1 && r.rate < kMinCallsPerSecondEach * s_.forwarders;
   }
-  // Messages a second that come to this forwarder for the route, as if its life had been longer by `before`.
-  double local_rate(const Route& r, Time before) const {
-    return std::max(1.0, r.arrivals) / seconds(now_ - started_ + before);
+  // Messages a second that arrive here for the route, as if the process had been running for `extra_time`
+  // longer.
+  double local_rate(const Route& r, Time extra_time) const {
+    return std::max(1.0, r.arrivals) / seconds(now_ - started_ + extra_time);
   }
-  // Between two calls, when each forwarder takes its part of the limit: the part of all traffic that it has.
+  // Interval between two calls when each forwarder uses its part of the limit, which is its part of all
+  // traffic.
   Time fair_call_interval(const Route& r) const {
     const double traffic = (arrivals_ + 1) / (seconds(now_ - started_) + 1);
     double part = std::min(1.0, traffic / std::max(1e-3, listed_rate_ * kAssumedUtilization));
-    // No rate told: its own is its part; one message early in a life tells of no high one.
+    // Without a known rate the forwarder's own rate is its part; a single message soon after the start must
+    // not count as a high rate.
     if (r.rate <= 0)
       return from_seconds(1 / local_rate(r, kMaxBackoffMultiplier * kTurnSpacingGrowth * kTurnSpacingGrowth));
     if (!r.listed) part = 1.0 / s_.forwarders;
@@ -506,19 +545,22 @@
   }
   void schedule_turn(Route& r) {
     if (!oversubscribed(r)) return;
-    // Tries again at a return must not outnumber new messages, nor a refused clump come back as one: they are
-    // spread evenly over the orders of time from the source's own multiplier to this forwarder's even part.
-    const double least =
+    // Retries at a destination's return must not outnumber new messages, and a burst that was refused must
+    // not return as one. They are spread evenly on a logarithmic scale, from the original multiplier to this
+    // forwarder's even share.
+    const double min_spacing =
         seconds(turns_active(r) ? r.turn_spacing * kTurnSpacingGrowth : kMaxBackoffMultiplier);
-    const int longer =
-        r.health.consecutive_refusals > 1 ? kTurnSpacingGrowth : 1;  // it may be shut, not full
-    const double most = seconds(std::max(min_backoff_multiplier(), fair_call_interval(r) * longer));
-    r.turn_spacing = from_seconds(least < most ? least * std::pow(most / least, random_fraction()) : most);
+    // After two refusals the destination may be unavailable, not at its limit.
+    const int factor = r.health.consecutive_refusals > 1 ? kTurnSpacingGrowth : 1;
+    const double max_spacing = seconds(std::max(min_backoff_multiplier(), fair_call_interval(r) * factor));
+    r.turn_spacing = from_seconds(min_spacing < max_spacing
+                                      ? min_spacing * std::pow(max_spacing / min_spacing, random_fraction())
+                                      : max_spacing);
     r.last_refusal = now_;
     r.next_turn = std::max(now_, r.wait_until) + jittered(r.turn_spacing);
   }
-  double random_fraction() { return static_cast<double>(random_() >> 11) * 0x1p-53; }  // from 0 to 1, even
-  Time jittered(Time span) {  // a half to one and a half of it, at random
+  double random_fraction() { return static_cast<double>(random_() >> 11) * 0x1p-53; }  // uniform in [0, 1)
+  Time jittered(Time span) {  // uniform between half and one and a half times the span
     return from_seconds(seconds(span) * (0.5 + random_fraction()));
   }
 
@@ -533,18 +575,18 @@
   }
 
   void record_failure(Health& h, Outcome outcome, double rate) {
-    const bool doubtful = outcome != Outcome::connect_failed;
+    const bool effect_unknown = outcome != Outcome::connect_failed;
     h.earned_calls = 0;
     ++h.consecutive_failures;
     h.failure_share += kFailureShareWeight * (1 - h.failure_share);
-    h.uncertain_share += kFailureShareWeight * ((doubtful ? 1 : 0) - h.uncertain_share);
-    // Where a call here is rare, and none succeeded lately, one failure is enough. But one reset alone may be
-    // an answer lost on its way while the work is done; a crash resets many.
+    h.uncertain_share += kFailureShareWeight * ((effect_unknown ? 1 : 0) - h.uncertain_share);
+    // Where calls are rare and none succeeded lately, one failure is enough. A single reset is not: its
+    // answer may have been lost after the work was done, while a crash resets many calls.
     const bool rare = rate < s_.forwarders && h.last_success + s_.overload_window < now_;
-    const bool alone = rare && outcome != Outcome::reset;
+    const bool one_is_enough = rare && outcome != Outcome::reset;
     const bool outage = h.consecutive_failures >= kUnhealthyConsecutiveFailures ||
-                        h.failure_share >= kUnhealthyFailureShare || alone;
-    if (!h.unhealthy && (outage || !doubtful)) {
+                        h.failure_share >= kUnhealthyFailureShare || one_is_enough;
+    if (!h.unhealthy && (outage || !effect_unknown)) {
       h.unhealthy = true;
       h.failing_since = now_;
       schedule_probe_call(h, rate);
@@ -554,55 +596,61 @@
     h.backoff_until = now_ + min_backoff_multiplier() * std::min(h.consecutive_failures, kMaxBackoffFactor);
   }
 
-  // A run of refusals without success, or a wait longer than any limit's span, tells a shut destination.
-  void record_refusal(Health& h, Time told_wait, double rate) {
+  // A run of refusals without a success, or a requested wait longer than any limit's window, shows that the
+  // destination is unavailable.
+  void record_refusal(Health& h, Time requested_wait, double rate) {
     h.earned_calls = 0;
     if (h.consecutive_refusals++ == 0) h.refused_since = now_;
-    const bool run = h.consecutive_refusals >= kUnavailableConsecutiveRefusals &&
-                     now_ - h.refused_since >= s_.overload_window;
-    bool shut = told_wait > s_.overload_window || (run && rate >= s_.forwarders * kMinCallsPerSecondEach);
-    if (shut || (h.unhealthy && !h.recovering_since)) record_failure(h, Outcome::connect_failed, rate);
+    const bool refusal_run = h.consecutive_refusals >= kUnavailableConsecutiveRefusals &&
+                             now_ - h.refused_since >= s_.overload_window;
+    bool unavailable = requested_wait > s_.overload_window ||
+                       (refusal_run && rate >= s_.forwarders * kMinCallsPerSecondEach);
+    if (unavailable || (h.unhealthy && !h.recovering_since)) record_failure(h, Outcome::connect_failed, rate);
   }
 
-  // Halves the window, once for all calls that were out together.
+  // Halves the window, once for all calls that were in flight together.
   void shrink_window(Route& route, Time sent_at) {
     if (sent_at < route.last_window_cut) return;
     route.last_window_cut = now_;
     route.window = std::max(1.0, std::floor(route.window / 2));
   }
-  // A refusal slows the pace from what this forwarder asks for, or twice its even part (where there are many,
-  // that part), if that is less. The next call waits a random time: told waits end for all at once.
+  // A refusal reduces the pace, starting from this forwarder's arrival rate or twice its even share (with
+  // many forwarders, that share), if lower. The next call waits a random time, since requested waits end for
+  // all forwarders at once.
   void reduce_pace(Route& route, Time sent_at) {
-    const bool told = route.wait_until > now_;
-    route.tokens = std::min(route.tokens, (many_forwarders(route) ? 0.5 : 0) -
-                                              (many_forwarders(route) || told ? random_fraction() : 0));
-    if (told) route.tokens_updated_at = route.wait_until;
+    const bool wait_requested = route.wait_until > now_;
+    route.tokens =
+        std::min(route.tokens, (many_forwarders(route) ? 0.5 : 0) -
+                                   (many_forwarders(route) || wait_requested ? random_fraction() : 0));
+    if (wait_requested) route.tokens_updated_at = route.wait_until;
     if (sent_at < route.last_pace_cut || route.rate <= 0 || oversubscribed(route)) return;
     route.last_pace_cut = now_;
-    const double asked = local_rate(route, std::chrono::seconds(1)) / route.rate;
-    const double most = many_forwarders(route) ? even_share() : std::max(asked, even_share() * 2);
-    const double least = many_forwarders(route) ? kMinPaceDivisor : 2;
-    route.pace_share = std::max(even_share() / least, std::min(route.pace_share, most) * kPaceDecreaseFactor);
-  }
-  // Where many share a limit, the answers tell whether it has room left. Without it none goes beyond its even
-  // part, and with it each comes back to that part within a few calls.
+    const double arrival_share = local_rate(route, std::chrono::seconds(1)) / route.rate;
+    const double max_share =
+        many_forwarders(route) ? even_share() : std::max(arrival_share, even_share() * 2);
+    const double divisor = many_forwarders(route) ? kMinPaceDivisor : 2;
+    route.pace_share =
+        std::max(even_share() / divisor, std::min(route.pace_share, max_share) * kPaceDecreaseFactor);
+  }
+  // Where many forwarders share a limit, answers report whether it has room. Without room none exceeds its
+  // even share; with it each gets back to that share within a few calls.
   void adjust_pace(Route& r, const LoadReport& report) {
     double step = std::min(kPaceIncrease, kFleetPaceIncrease / s_.forwarders);
     if (many_forwarders(r)) {
-      const bool room = !report.present || report.allowance_left > kAllowanceAvailable;
-      const bool none =
+      const bool available = !report.present || report.allowance_left > kAllowanceAvailable;
+      const bool exhausted =
           report.present && report.allowance_left < kAllowanceExhausted && r.pace_share > even_share();
       step = r.pace_share * (r.pace_share < even_share() ? kPaceStepBelowShare
-                             : room                      ? kPaceStepAboveShare
-                             : none                      ? -kPaceStepAboveShare
+                             : available                 ? kPaceStepAboveShare
+                             : exhausted                 ? -kPaceStepAboveShare
                                                          : 0);
     }
     r.pace_share = std::min(1.0, r.pace_share + step);
   }
   void update_reported_limit(Route& r, double limit) {
     double& known = r.listed ? r.reported_limit : r.rate;
-    const bool other = known <= 0 || (r.listed && std::abs(limit - known) > kLimitChangeThreshold * known);
-    known += (other ? 1 : kLatencyWeight) * (limit - known);
+    const bool changed = known <= 0 || (r.listed && std::abs(limit - known) > kLimitChangeThreshold * known);
+    known += (changed ? 1 : kLatencyWeight) * (limit - known);
   }
   double effective_limit(const Route& r) const {
     return r.listed && r.reported_limit > 0 && r.reported_limit < r.rate * (1 - kLimitChangeThreshold)
@@ -619,9 +667,9 @@
     const bool connection_only = ended.connection_only;
     Call call = calls_.at(id);
     Endpoint& endpoint = endpoints_.at(call.endpoint);
-    const Time span = now_ - call.sent_at, stall = stall_time(*endpoint.route);
-    // The share of overdue calls that are never answered; one called off too early for that tells nothing.
-    if (span >= (answered(outcome) ? stall / 2 : stall)) {
+    const Time duration = now_ - call.sent_at, stall = stall_time(*endpoint.route);
+    // Share of overdue calls that are never answered. A call cancelled before it was overdue is not counted.
+    if (duration >= (answered(outcome) ? stall / 2 : stall)) {
       unanswered_share_ =
           unanswered_share() + kUnansweredShareWeight * ((answered(outcome) ? 0 : 1) - unanswered_share());
       unanswered_share_at_ = now_;
@@ -630,14 +678,16 @@
     --endpoint.route->in_flight;
     if (outcome == Outcome::delivered) {
       Route& r = *endpoint.route;
-      const double took = seconds(span);
-      const double step = r.answer_mean == 0 ? 1 : kLatencyWeight;  // the first answer stands for all
+      const double answer_seconds = seconds(duration);
+      const double step = r.answer_mean == 0 ? 1 : kLatencyWeight;  // the first answer sets the mean
       r.answer_deviation +=
-          step * ((step == 1 ? took / 2 : std::abs(took - r.answer_mean)) - r.answer_deviation);
-      r.answer_mean += step * (took - r.answer_mean);
-      const double log_took = std::log(std::max(1e-3, took));  // the slow ones weigh little in its mean
+          step *
+          ((step == 1 ? answer_seconds / 2 : std::abs(answer_seconds - r.answer_mean)) - r.answer_deviation);
+      r.answer_mean += step * (answer_seconds - r.answer_mean);
+      // The logarithm limits the weight of slow answers.
+      const double log_answer_seconds = std::log(std::max(1e-3, answer_seconds));
       usual_answer_log_ +=
-          (usual_answer_log_ < kNoLimit ? kLatencyWeight : 1) * (log_took - usual_answer_log_);
+          (usual_answer_log_ < kNoLimit ? kLatencyWeight : 1) * (log_answer_seconds - usual_answer_log_);
     }
     const bool answered_call = answered(outcome) && !connection_only;
     if (answered_call) endpoint.last_used = now_;
@@ -654,7 +704,7 @@
     return unanswered_share_ *
            std::exp2(-seconds(now_ - unanswered_share_at_) / kUnansweredShareHalfLifeSeconds);
   }
-  // How long a call may hold a slot that others want: the less overdue calls are answered, the shorter.
+  // How long a call may hold a slot that others need: the fewer overdue calls are answered, the shorter.
   Time max_slot_time(const Call& call, const Endpoint& e) const {
     const double stalls =
         (call.unsafe ? kTimeoutStallTimes : 1) * (stalled(e) || failing(e.health) ? 1 : kTimeoutStallTimes);
@@ -666,9 +716,9 @@
                     std::min(kMaxBackoffMultiplier, from_seconds(seconds(c.aim) * kBackoffMultiplierPerAim)));
   }
   Time min_backoff_multiplier() const {
-    Time least = kMaxBackoffMultiplier;
-    for (const ClassSettings& c : s_.classes) least = std::min(least, backoff_multiplier(c));
-    return least;
+    Time smallest = kMaxBackoffMultiplier;
+    for (const ClassSettings& c : s_.classes) smallest = std::min(smallest, backoff_multiplier(c));
+    return smallest;
   }
   double expected_answer_seconds(const Route& r) const {
     return r.answer_mean > 0 ? r.answer_mean : seconds(min_backoff_multiplier());
@@ -679,16 +729,16 @@
     return std::max(min_backoff_multiplier(),
                     from_seconds(r.answer_mean + kStallDeviations * r.answer_deviation));
   }
-  // A repeatable call is given up well after its answer is late; one that may not be repeated never is.
+  // A repeatable call is abandoned well after its answer is overdue; one that must not be repeated never is.
   Time attempt_timeout(const Route& r, const Message& m) const {
     if (m.class_settings->effect == Effect::unsafe) return m.deadline - now_;
-    const Time patience =
+    const Time timeout =
         std::max(from_seconds(seconds(stall_time(r)) * kTimeoutStallTimes), s_.connect_timeout * 2);
-    return std::min(m.deadline - now_, patience);
+    return std::min(m.deadline - now_, timeout);
   }
 
   bool failing(const Health& h) const { return h.unhealthy && !h.recovering_since; }
-  // Calls are out there for too long and nothing has been answered since: silent, or standing still.
+  // Whether calls have been in flight for too long with no answer since: the endpoint is silent or hangs.
   bool stalled(const Endpoint& e) const {
     return !e.in_flight.empty() && *e.in_flight.begin() + stall_time(*e.route) <= now_ &&
            e.health.last_success < *e.in_flight.begin();
@@ -706,18 +756,19 @@
     return n;
   }
 
-  // Calls that a destination may get in overload_time at this moment, from all forwarders.
+  // Calls from all forwarders that a destination may get within the overload window at this moment.
   double slow_start_budget(const Health& h, double rate) const {
-    double warm = h.recovering_since
-                      ? seconds(now_ - *h.recovering_since) / std::max(1e-6, seconds(s_.slow_start_time))
-                      : 0;
-    double capacity = rate * (s_.slow_start_min_share + (1 - s_.slow_start_min_share) * warm) /
+    double progress = h.recovering_since
+                          ? seconds(now_ - *h.recovering_since) / std::max(1e-6, seconds(s_.slow_start_time))
+                          : 0;
+    double capacity = rate * (s_.slow_start_min_share + (1 - s_.slow_start_min_share) * progress) /
                       (s_.rates_approximate ? kApproximateRateFactor : 1);
     return s_.overload_factor * capacity * seconds(s_.overload_window);
   }
-  // Where one call of each forwarder is too much, trials come at random times, so seldom that all that may
-  // have messages waiting keep the budget together: one for each call that the rate allowed since, and more
-  // where messages come in clumps or the outage began before this forwarder saw it.
+  // Where one call of each forwarder would be too much, probe calls are made at random times. They are rare
+  // enough that all forwarders that may have messages waiting stay within the budget together: one such
+  // forwarder for each call that the rate allowed since the outage began, and more where messages arrive in
+  // bursts or the outage began before this forwarder noticed it.
   void schedule_probe_call(Health& h, double rate) {
     const double outage = seconds(std::max(s_.overload_window, now_ - h.failing_since));
     const double allowed = rate * outage, waiting = allowed + kBacklogDeviations * std::sqrt(allowed);
@@ -733,7 +784,8 @@
   }
 
   // Slow start after an outage: this forwarder's part of what the destination can take now. The first success
-  // after the last failure stands for the return. Each success without a refusal between earns a call more.
+  // after the last failure counts as the destination's return. Each success without a refusal in between
+  // earns one more call.
   Time next_budgeted_call(Health& h, double rate, std::size_t waiting) {
     if (h.unhealthy && h.recovering_since && now_ - *h.recovering_since >= s_.slow_start_time) {
       h.unhealthy = false;
@@ -741,77 +793,79 @@
     }
     std::erase_if(h.recent_calls, [this](Time t) { return t + s_.overload_window <= now_; });
     if (!h.unhealthy) return now_;
-    const double whole = slow_start_budget(h, rate);
-    if (whole < s_.forwarders && s_.forwarders > 1) return std::max(now_, next_probe_call(h, rate, waiting));
+    const double total = slow_start_budget(h, rate);
+    if (total < s_.forwarders && s_.forwarders > 1) return std::max(now_, next_probe_call(h, rate, waiting));
     const double budget = std::max(
-        whole * even_share(), std::min(whole * even_share() + h.earned_calls, whole * kMaxSlowStartShare));
+        total * even_share(), std::min(total * even_share() + h.earned_calls, total * kMaxSlowStartShare));
     if (static_cast<double>(h.recent_calls.size()) + 1 <= std::max(1.0, budget)) return now_;
     return h.recent_calls.front() + s_.overload_window;
   }
 
-  // No more calls fit on the connections that the endpoint takes. One more is tried now and then.
+  // No more calls fit on the connections that the endpoint accepts. One more is tried now and then.
   bool connections_full(const Endpoint& e) const {
-    const double more = seconds(now_ - e.connections_full_at) / seconds(e.connection_retry_interval);
-    return static_cast<double>(e.in_flight.size()) >= e.max_in_flight + std::floor(more);
+    const double extra_calls = seconds(now_ - e.connections_full_at) / seconds(e.connection_retry_interval);
+    return static_cast<double>(e.in_flight.size()) >= e.max_in_flight + std::floor(extra_calls);
   }
 
-  // Every send passes here. Returns now if it may go, else the time at which to look again, or kNever when
-  // only an event can open the way. Without a message: the rules that bind any send.
+  // Every send is checked here. Returns now_ if the message may be sent, else the time of the next check, or
+  // kNever if only an event can make sending possible. Without a message, only the rules that apply to any
+  // send are checked.
   Time earliest_send(Endpoint& e, const Message* m) {
     Route& r = *e.route;
-    if (e.entry.condition != Condition::ready) return kNever;  // drains: nothing new from that event on
-    Time open = std::max(now_, r.wait_until);                  // waits: for any message
+    if (e.entry.condition != Condition::ready) return kNever;  // draining: nothing new from that event on
+    Time earliest = std::max(now_, r.wait_until);              // requested wait: applies to every message
     if (open_call(e) == calls_.end()) {
       if (calls_.size() >= s_.slots) return kNever;
       if (r.in_flight >= static_cast<std::size_t>(r.window)) return kNever;
       if (connections_full(e)) return kNever;
       for (Health* h : {&e.health, &r.health}) {
-        if (backoff_exempt_.count(e.entry.endpoint))
-          break;  // the fleet rests enough: only the cold budget binds
-        open = std::max(open, h->backoff_until);
-        std::size_t out = h == &e.health ? e.in_flight.size() : r.in_flight;
-        if (failing(*h) && out > 0) return kNever;  // half-open: one trial at a time
+        // The fleet's cap on backoff is reached: only the slow-start budget applies.
+        if (backoff_exempt_.count(e.entry.endpoint)) break;
+        earliest = std::max(earliest, h->backoff_until);
+        std::size_t calls_in_flight = h == &e.health ? e.in_flight.size() : r.in_flight;
+        if (failing(*h) && calls_in_flight > 0) return kNever;  // half-open: one probe call at a time
       }
       const Destination& d = destinations_.at(e.entry.destination);
-      open = std::max(open, next_budgeted_call(r.health, r.rate, d.waiting.size()));
+      earliest = std::max(earliest, next_budgeted_call(r.health, r.rate, d.waiting.size()));
       const double siblings = has_separate_route(e.entry) ? 1 : static_cast<double>(d.endpoints.size());
-      open = std::max(open, next_budgeted_call(e.health, r.rate / siblings, d.waiting.size()));
-      if (stalled(e)) open = std::max(open, *e.in_flight.rbegin() + stall_time(r));
+      earliest = std::max(earliest, next_budgeted_call(e.health, r.rate / siblings, d.waiting.size()));
+      if (stalled(e)) earliest = std::max(earliest, *e.in_flight.rbegin() + stall_time(r));
       if (holds_slots_long(e) && slot_holding_calls() >= share_of(s_.slots, kMaxUnhealthySlotShare))
         return kNever;
-      open = std::max({open, next_token(r), r.next_turn});
+      earliest = std::max({earliest, next_token(r), r.next_turn});
     }
-    if (m == nullptr) return open;
-    open = std::max(open, m->not_before);
+    if (m == nullptr) return earliest;
+    earliest = std::max(earliest, m->not_before);
     if (m->attempts >= s_.max_attempts) return kNever;
     if (!recording_available_ && m->class_settings->effect != Effect::safe) return kNever;
-    if (open + mean_answer_time(r) > m->deadline) return kNever;
-    // Guards against calls cut off by the end of the process, whose effect nobody would know.
-    if (open + (m->class_settings->effect == Effect::safe ? mean_answer_time(r) : stall_time(r)) >
+    if (earliest + mean_answer_time(r) > m->deadline) return kNever;
+    // A call cut off by the end of the process would leave its effect unknown.
+    if (earliest + (m->class_settings->effect == Effect::safe ? mean_answer_time(r) : stall_time(r)) >
         shutdown_at_)
       return kNever;
     if (m->class_settings->sequential && m->arrival.key != 0) {
-      const KeyQueue& line = keys_.at(m->arrival.key);
-      if (line.messages.front() != m->arrival.id) return kNever;
-      open = std::max(open, line.quiet_until);
+      const KeyQueue& queue = keys_.at(m->arrival.key);
+      if (queue.messages.front() != m->arrival.id) return kNever;
+      earliest = std::max(earliest, queue.quiet_until);
     }
     if (m->may_have_run) {
       if (m->class_settings->effect == Effect::unsafe) return kNever;
-      const bool scoped =
+      const bool zone_scoped =
           m->class_settings->effect == Effect::keyed && m->class_settings->key_scope == KeyScope::zone;
-      if (scoped && e.entry.zone != m->uncertain_zone) return kNever;
+      if (zone_scoped && e.entry.zone != m->uncertain_zone) return kNever;
     }
-    if (open > latest_start(*m)) return kNever;
-    // A message that cannot be repeated is kept back while calls here may fail with their effect unknown.
-    const double doubt = std::max(e.health.uncertain_share, r.health.uncertain_share);
-    if (m->class_settings->effect == Effect::unsafe && (doubt >= kMaxUncertainShareForUnsafe || stalled(e))) {
+    if (earliest > latest_start(*m)) return kNever;
+    // A message that cannot be repeated is held back while calls here may fail with unknown effect.
+    const double uncertain_share = std::max(e.health.uncertain_share, r.health.uncertain_share);
+    if (m->class_settings->effect == Effect::unsafe &&
+        (uncertain_share >= kMaxUncertainShareForUnsafe || stalled(e))) {
       Time last_chance = m->deadline - stall_time(r);
-      if (last_chance > open) open = last_chance;
+      if (last_chance > earliest) earliest = last_chance;
     }
-    return open;
+    return earliest;
   }
 
-  // Sends of one moment to one endpoint share a call where its kind allows it.
+  // Messages sent to one endpoint at the same time share a call where its kind allows it.
   std::map<std::size_t, Call>::iterator open_call(const Endpoint& e) {
     std::size_t batch = e.entry.kind < s_.kinds.size() ? s_.kinds[e.entry.kind].max_batch : 1;
     if (batch < 2 || e.in_flight.empty() || *e.in_flight.rbegin() != now_) return calls_.end();
@@ -843,8 +897,8 @@
     return c.worth * (1 - (1 - c.late_worth) * std::min(1.0, late / span));
   }
 
-  // The endpoint that is least busy, in the own zone where crossing costs, over a connection that is open.
-  // The tie-breaker guards against all forwarders starting with one endpoint and staying on its connection.
+  // Prefers the least busy endpoint, in the local zone if crossing has a price, over an open connection.
+  // Without the tie-breaker all forwarders would start with the same endpoint and stay on its connection.
   std::tuple<double, Time, std::uint64_t> rank(const Endpoint& e) const {
     double cost = static_cast<double>(e.in_flight.size()) + 4 * e.health.failure_share;
     if (e.entry.zone != s_.zone && s_.cross_zone_price > 0) cost += 1;
@@ -858,9 +912,10 @@
   std::size_t connections_needed(std::size_t calls) const {
     return (calls + s_.calls_per_connection - 1) / s_.calls_per_connection;
   }
-  // Guards against idle connections of many forwarders filling the few that endpoints of a kind take. One
-  // that found no place surely tells it: for a while none is kept that would be idle mostly. A connect that
-  // failed may, or tell of a crash: none is kept that would seldom be used again in time.
+  // Idle connections of many forwarders could use up the few that endpoints of a kind accept. A connection
+  // that was refused for lack of room is sure evidence: for a while no connection is kept that would be
+  // mostly idle. A failed connect may be such a refusal or a crash: no connection is kept that would rarely
+  // be reused before its idle timeout.
   bool connections_scarce(const Endpoint& e) const {
     const auto it = scarce_until_.find(e.entry.kind);
     if (it == scarce_until_.end()) return false;
@@ -875,11 +930,12 @@
     emit(CloseIdleConnections{e.entry.endpoint});
     e.connections = connections_needed(e.in_flight.size());
   }
-  void mark_connections_scarce(const Endpoint& failed, bool sure) {
-    const bool known = connections_scarce(failed);
-    auto& [maybe, surely] = scarce_until_[failed.entry.kind];
-    (sure ? surely : maybe) = now_ + s_.connection_idle_timeout * kConnectionFindingIdleTimeouts;
-    if (known || !connections_scarce(failed)) return;
+  void mark_connections_scarce(const Endpoint& failed, bool certain) {
+    const bool already_scarce = connections_scarce(failed);
+    auto& [probably_until, certainly_until] = scarce_until_[failed.entry.kind];
+    (certain ? certainly_until : probably_until) =
+        now_ + s_.connection_idle_timeout * kConnectionFindingIdleTimeouts;
+    if (already_scarce || !connections_scarce(failed)) return;
     for (auto& [id, e] : endpoints_) {
       if (e.entry.kind == failed.entry.kind) close_idle_connections(e);
     }
@@ -888,7 +944,7 @@
   void dispatch() {
     enforce_capacity();
     free_slots();
-    double slot_seconds = 0;  // of all that waits
+    double slot_seconds = 0;  // needed by all waiting messages
     for (DestinationId id :
          std::vector<DestinationId>(waiting_destinations_.begin(), waiting_destinations_.end())) {
       Destination& d = destinations_.at(id);
@@ -901,8 +957,8 @@
     std::map<DestinationId, Choice> choices;
     for (DestinationId id : waiting_destinations_) choices[id] = choose(destinations_.at(id), slots_drain);
     while (true) {
-      const auto less = [](const auto& a, const auto& b) { return a.second.gain < b.second.gain; };
-      const auto best = std::max_element(choices.begin(), choices.end(), less);
+      const auto less_gain = [](const auto& a, const auto& b) { return a.second.gain < b.second.gain; };
+      const auto best = std::max_element(choices.begin(), choices.end(), less_gain);
       if (best == choices.end() || !best->second.message) break;
       Choice& choice = best->second;
       if (earliest_send(*choice.endpoint, choice.message) <= now_) {
@@ -913,26 +969,26 @@
     }
   }
 
-  // What would be sent next to a destination: what loses most worth by waiting for all others of it.
+  // The message to send next to a destination: the one that loses the most worth by waiting for all others.
   struct Choice {
     Message* message = nullptr;
     Endpoint* endpoint = nullptr;
-    double gain = -1;  // less than of any message
+    double gain = -1;  // below that of any message
   };
 
   Choice choose(Destination& d, double slots_drain) {
     Choice best;
     if (d.waiting.empty()) return best;
-    std::vector<Endpoint*> open;
+    std::vector<Endpoint*> open_endpoints;
     double rate = 0;
     for (EndpointId id : d.endpoints) {
       Endpoint& e = endpoints_.at(id);
       Time t = earliest_send(e, nullptr);
-      if (t <= now_) open.push_back(&e);
+      if (t <= now_) open_endpoints.push_back(&e);
       if (t > now_ && t < kNever) wake_at(t);
       rate = std::max(rate, pace(*e.route));
     }
-    if (open.empty()) return best;
+    if (open_endpoints.empty()) return best;
     const double drain = std::max(slots_drain, static_cast<double>(d.waiting.size()) / std::max(0.1, rate));
     std::pair<double, Time> best_order;
     for (Message* waiting : d.waiting) {
@@ -941,21 +997,21 @@
         wake_at(m.not_before);
         continue;
       }
-      const double u = worth_at(m, now_) - worth_at(m, now_ + from_seconds(drain));
-      const std::pair order(u,
-                            -(m.first_submitted + m.class_settings->aim));  // then the one that is late first
+      const double loss = worth_at(m, now_) - worth_at(m, now_ + from_seconds(drain));
+      // Ties go to the message whose aim is earliest.
+      const std::pair order(loss, -(m.first_submitted + m.class_settings->aim));
       if (best.message && order <= best_order) continue;
-      Endpoint* endpoint = choose_endpoint(open, m);
+      Endpoint* endpoint = choose_endpoint(open_endpoints, m);
       if (!endpoint) continue;
-      best = Choice{&m, endpoint, u / expected_answer_seconds(*endpoint->route)};
+      best = Choice{&m, endpoint, loss / expected_answer_seconds(*endpoint->route)};
       best_order = order;
     }
     return best;
   }
 
-  Endpoint* choose_endpoint(const std::vector<Endpoint*>& open, const Message& m) {
+  Endpoint* choose_endpoint(const std::vector<Endpoint*>& open_endpoints, const Message& m) {
     Endpoint* best = nullptr;
-    for (Endpoint* e : open) {
+    for (Endpoint* e : open_endpoints) {
       const Time t = earliest_send(*e, &m);
       if (t > now_ && t < kNever) wake_at(t);
       if (t <= now_ && (!best || rank(*e) < rank(*best))) best = e;
@@ -987,115 +1043,122 @@
     emit(Send{m.arrival.id, e.entry.endpoint, attempt_timeout(r, m), max_idle(), latest_start(m) - now_});
   }
 
-  // A waiting message that no endpoint can take in the time left gets its answer at once. Guards the time
-  // that an event costs: all that wait are looked through only when one of them is due, and now and then.
+  // Ends a waiting message at once if no endpoint can take it in the time left. To bound the cost of an
+  // event, the waiting messages are checked only when one of them is due, and otherwise at intervals.
   void give_up(Destination& d) {
     if (now_ < d.next_check) return wake_at(d.next_check);
     d.next_check = now_ + kMaxCheckInterval;
-    std::vector<Message*> lost;
+    std::vector<Message*> expired;
     for (Message* m : d.waiting) {
-      const Time at = give_up_at(d, *m);
-      if (at <= now_) lost.push_back(m);
-      if (at > now_) d.next_check = std::min(d.next_check, at);
+      const Time give_up_time = give_up_at(d, *m);
+      if (give_up_time <= now_) expired.push_back(m);
+      if (give_up_time > now_) d.next_check = std::min(d.next_check, give_up_time);
     }
     wake_at(d.next_check);
-    for (Message* m : lost) end_undelivered(*m, d);
+    for (Message* m : expired) end_undelivered(*m, d);
   }
 
-  // Guards against held messages filling the room: the one worth least after as long again is answered.
+  // Keeps held messages from using up the capacity: ends the message that would be worth least after waiting
+  // as long again.
   void enforce_capacity() {
-    const std::size_t room = s_.max_held - std::min(s_.max_held - 1, share_of(s_.max_held, kCapacityReserve));
-    auto promise = [this](const Message& m) { return worth_at(m, now_ + (now_ - m.first_submitted)); };
-    while (messages_.size() > room) {
-      std::pair<double, Message*> least{kNoLimit, nullptr};
+    const std::size_t limit =
+        s_.max_held - std::min(s_.max_held - 1, share_of(s_.max_held, kCapacityReserve));
+    auto later_worth = [this](const Message& m) { return worth_at(m, now_ + (now_ - m.first_submitted)); };
+    while (messages_.size() > limit) {
+      std::pair<double, Message*> lowest{kNoLimit, nullptr};
       for (DestinationId id : waiting_destinations_) {
         for (Message* m : destinations_.at(id).waiting) {
-          if (const double p = promise(*m); p < least.first) least = {p, m};
+          if (const double worth = later_worth(*m); worth < lowest.first) lowest = {worth, m};
         }
       }
-      if (!least.second) return;
-      end_undelivered(*least.second, destinations_.at(least.second->arrival.destination), true);
+      if (!lowest.second) return;
+      end_undelivered(*lowest.second, destinations_.at(lowest.second->arrival.destination), true);
     }
   }
 
-  // Guards against calls without an answer holding every slot, or every connection that an endpoint takes,
-  // while messages wait. The most overdue one is called off, though its answer may have been about to come.
+  // Calls without an answer could hold every slot, or every connection that an endpoint accepts, while
+  // messages wait. Cancels the most overdue call, although its answer may be about to arrive.
   void free_slots() {
     if (!s_.can_cancel) return;
-    bool wanted = false;  // any slot
+    bool slot_needed = false;
     for (auto id = waiting_destinations_.begin();
          id != waiting_destinations_.end() && calls_.size() >= s_.slots; ++id) {
       for (EndpointId endpoint : destinations_.at(*id).endpoints)
-        wanted |= !degraded(endpoints_.at(endpoint));
+        slot_needed |= !degraded(endpoints_.at(endpoint));
     }
-    std::pair<double, std::size_t> most{1, 0};
-    Time next = wanted ? now_ + min_backoff_multiplier() / 2 : kNever;  // a call may count as stalled by then
+    std::pair<double, std::size_t> most_overdue{1, 0};
+    // A call may count as stalled by then.
+    Time next = slot_needed ? now_ + min_backoff_multiplier() / 2 : kNever;
     for (const auto& [id, call] : calls_) {
-      if (call.cancelled) return;  // one at a time: its slot is about to come free
+      if (call.cancelled) return;  // one at a time: its slot is about to become free
       const Endpoint& e = endpoints_.at(call.endpoint);
-      if (!wanted && !(waiting_destinations_.count(e.entry.destination) && connections_full(e))) continue;
-      const Time patience = max_slot_time(call, e);
-      next = std::min(next, call.sent_at + patience + Time(1));
-      most = std::max(most, std::pair(seconds(now_ - call.sent_at) / seconds(patience), id));
+      if (!slot_needed && !(waiting_destinations_.count(e.entry.destination) && connections_full(e)))
+        continue;
+      const Time max_time = max_slot_time(call, e);
+      next = std::min(next, call.sent_at + max_time + Time(1));
+      most_overdue = std::max(most_overdue, std::pair(seconds(now_ - call.sent_at) / seconds(max_time), id));
     }
-    if (most.second == 0) return wake_at(std::max(next, now_ + s_.resolution));
-    calls_.at(most.second).cancelled = true;
+    if (most_overdue.second == 0) return wake_at(std::max(next, now_ + s_.resolution));
+    calls_.at(most_overdue.second).cancelled = true;
     for (const auto& [id, m] : messages_) {
-      if (m.call_id == most.second) emit(Cancel{id, m.attempts - 1});
+      if (m.call_id == most_overdue.second) emit(Cancel{id, m.attempts - 1});
     }
   }
 
-  // A repeat is dropped only for so long, so it begins within that time, however long its connection takes.
+  // Repeats are dropped only within the deduplication window, so a repeat has to begin within it, however
+  // long its connection takes.
   Time latest_start(const Message& m) const {
-    const bool guarded = m.may_have_run && m.class_settings->effect == Effect::keyed;
-    return guarded ? std::min(m.deadline, m.uncertain_since + m.class_settings->dedup_window) : m.deadline;
+    const bool deduplicated = m.may_have_run && m.class_settings->effect == Effect::keyed;
+    return deduplicated ? std::min(m.deadline, m.uncertain_since + m.class_settings->dedup_window)
+                        : m.deadline;
   }
   Time give_up_at(const Destination& d, const Message& m) const {
-    const Time last = latest_send(d, m);
-    return std::max(now_, m.not_before) >= last ? now_ : last;
+    const Time latest = latest_send(d, m);
+    return std::max(now_, m.not_before) >= latest ? now_ : latest;
   }
   Time latest_send(const Destination& d, const Message& m) const {
     if (m.attempts >= s_.max_attempts) return now_;
     if (m.may_have_run && m.class_settings->effect == Effect::unsafe) return now_;
-    Time last = latest_start(m);
-    Time call = kNever, wait = kNever;
+    Time latest = latest_start(m);
+    Time answer_time = kNever, wait_until = kNever;
     for (EndpointId id : d.endpoints) {
       const Endpoint& e = endpoints_.at(id);
       if (e.entry.condition != Condition::ready) continue;
-      call = std::min(call, mean_answer_time(*e.route));
-      wait = std::min(wait, e.route->wait_until);
+      answer_time = std::min(answer_time, mean_answer_time(*e.route));
+      wait_until = std::min(wait_until, e.route->wait_until);
     }
-    if (call == kNever) return m.deadline - s_.resolution * 2;  // nowhere to go now; the list may bring it
-    last = std::min(last, m.deadline - std::max(call, s_.resolution * 2));
-    return wait >= last ? now_ : last;
+    // No endpoint is ready now; the list may add one.
+    if (answer_time == kNever) return m.deadline - s_.resolution * 2;
+    latest = std::min(latest, m.deadline - std::max(answer_time, s_.resolution * 2));
+    return wait_until >= latest ? now_ : latest;
   }
 
-  void end_undelivered(Message& m, const Destination& d, bool for_room = false) {
+  void end_undelivered(Message& m, const Destination& d, bool for_capacity = false) {
     bool may_refuse =
         !m.may_have_run || m.class_settings->effect == Effect::safe ||
         (m.class_settings->effect == Effect::keyed && m.class_settings->key_scope == KeyScope::all);
-    const GiveUpReason why = for_room                        ? GiveUpReason::capacity
-                             : m.attempts >= s_.max_attempts ? GiveUpReason::attempts
-                             : may_refuse                    ? GiveUpReason::deadline
-                                                             : GiveUpReason::uncertain;
-    may_refuse ? emit(Refuse{m.arrival.id, retry_after(d), why}) : emit(Fail{m.arrival.id, why});
+    const GiveUpReason reason = for_capacity                    ? GiveUpReason::capacity
+                                : m.attempts >= s_.max_attempts ? GiveUpReason::attempts
+                                : may_refuse                    ? GiveUpReason::deadline
+                                                                : GiveUpReason::uncertain;
+    may_refuse ? emit(Refuse{m.arrival.id, retry_after(d), reason}) : emit(Fail{m.arrival.id, reason});
     end(m);
   }
 
   Time retry_after(const Destination& d) const {
     if (!s_.can_send_retry_after) return Time(0);
-    Time soonest = now_ + s_.max_retry_after;
+    Time earliest = now_ + s_.max_retry_after;
     for (EndpointId id : d.endpoints) {
       const Endpoint& e = endpoints_.at(id);
       if (e.entry.condition != Condition::ready) continue;
       const Route& r = *e.route;
-      soonest = std::min(
-          soonest, std::max({r.wait_until, r.next_turn, e.health.backoff_until, r.health.backoff_until}));
+      earliest = std::min(
+          earliest, std::max({r.wait_until, r.next_turn, e.health.backoff_until, r.health.backoff_until}));
     }
-    return std::min(std::max(min_backoff_multiplier(), soonest - now_), s_.max_retry_after);
+    return std::min(std::max(min_backoff_multiplier(), earliest - now_), s_.max_retry_after);
   }
 
-  // Ends the message; its record stays while a call of it is still out.
+  // Ends the message; its record is kept while one of its calls is in flight.
   void end(Message& m) {
     m.ended = true;
     if (m.call_id != 0) return;
@@ -1126,29 +1189,30 @@
   std::map<std::pair<DestinationId, std::optional<EndpointId>>, Route> routes_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
-  std::set<DestinationId> waiting_destinations_;  // those for which messages wait
+  std::set<DestinationId> waiting_destinations_;  // those with waiting messages
   std::map<MessageId, Message> messages_;
   std::map<std::size_t, Call> calls_;
   std::map<std::uint64_t, KeyQueue> keys_;
-  std::set<EndpointId> removed_;  // not forgotten yet
+  std::set<EndpointId> removed_;  // endpoints that are gone but still have a record
   std::deque<std::pair<Time, std::uint64_t>>
-      quiet_keys_;  // keys without a message, by when they may be forgotten
+      quiet_keys_;  // keys without messages, with the time at which their record may be removed
   std::size_t last_call_id_ = 0;
-  std::array<ConnectionLoss, 11> idle_connection_losses_;  // by how long the connection had stood idle
+  std::array<ConnectionLoss, 11> idle_connection_losses_;  // by class of idle times
   ConnectionLoss new_connection_losses_;
   Time last_connection_loss_ = kLongAgo;
-  // By kind, until when connections are not kept idle: one may have found no place, or one surely has.
+  // By kind, until when idle connections are not kept: first where one may have found no room, second where
+  // one surely did.
   std::map<std::uint32_t, std::pair<Time, Time>> scarce_until_;
-  double unanswered_share_ = 0;  // of overdue calls, as it was at that time
+  double unanswered_share_ = 0;  // as of unanswered_share_at_
   Time unanswered_share_at_{};
-  double usual_answer_log_ = kNoLimit;  // mean of the logarithm of answer times, in seconds
-  double arrivals_ = 0;                 // messages in this life
-  double listed_rate_ = 0;              // of all routes
+  double usual_answer_log_ = kNoLimit;  // mean of the logarithm of answer times in seconds
+  double arrivals_ = 0;                 // messages since the start of the process
+  double listed_rate_ = 0;              // sum over all routes
   std::size_t log_messages_ = 0;
   int list_failures_ = 0;
   Time next_list_request_ = kNever, next_wake_ = kNever, timer_at_ = kNever, shutdown_at_ = kNever;
-  std::set<EndpointId> backoff_exempt_;  // that may not rest
-  bool recording_available_ = true;      // attempts, by the caller
+  std::set<EndpointId> backoff_exempt_;  // endpoints that must not back off
+  bool recording_available_ = true;      // whether the caller can record attempts
 };
 
 Forwarder::Forwarder(const Settings& settings) : policy_(std::make_unique<Policy>(settings)) {}
--- a/src/delivery_snapshot.hpp
+++ b/src/delivery_snapshot.hpp
@@ -1,6 +1,6 @@
-// What the module remembers, as bytes, for a process that takes over from another. This lists fields and
-// decides nothing. Included once, at the end of delivery_policy.cpp, whose types these are. Points in time
-// stay as they are: both processes read one clock.
+// Serialization of the forwarder's state, for a process that takes over from another. Lists fields and
+// decides nothing. Included once, at the end of delivery_policy.cpp, which defines these types. Points in
+// time are stored unchanged, since both processes read the same clock.
 #pragma once
 
 #include <cereal/archives/binary.hpp>
@@ -17,7 +17,7 @@
 
 namespace starlinghook {
 
-// Raised with each change of what is listed below: another version's bytes are not read.
+// Incremented with each change to the fields listed below: bytes of another version are rejected.
 constexpr std::uint32_t kSnapshotVersion = 4;
 
 template <class A>
@@ -45,12 +45,12 @@
     r.last_refusal, r.next_turn, r.turn_spacing, r.answer_mean, r.answer_deviation);
 }
 template <class A>
-void serialize(A& a, Endpoint& e) {  // but for its route
+void serialize(A& a, Endpoint& e) {  // without its route
   a(e.entry, e.health, e.in_flight, e.connections, e.max_in_flight, e.connections_full_at,
     e.connection_retry_interval, e.last_used, e.tie_breaker);
 }
 template <class A>
-void serialize(A& a, Message& m) {  // but for its rules
+void serialize(A& a, Message& m) {  // without its class settings
   a(m.arrival, m.first_submitted, m.deadline, m.not_before, m.ended, m.attempts, m.may_have_run,
     m.uncertain_since, m.uncertain_zone, m.sent_at, m.call_id);
 }
@@ -67,7 +67,7 @@
   a(k.messages, k.quiet_until);
 }
 template <class A>
-void serialize(A& a, Destination& d) {  // but for what waits
+void serialize(A& a, Destination& d) {  // without its waiting messages
   a(d.next_check, d.endpoints);
 }
 
@@ -79,7 +79,7 @@
   std::stringstream random;
   if (!loading) random << random_;
   std::string random_text = random.str();
-  std::map<DestinationId, std::vector<MessageId>> waiting;  // in their order
+  std::map<DestinationId, std::vector<MessageId>> waiting;  // in order
   for (const auto& [id, d] : destinations_) {
     for (const Message* m : d.waiting) waiting[id].push_back(m->arrival.id);
   }
@@ -95,7 +95,7 @@
       endpoint.route =
           &routes_.at({entry.destination, has_separate_route(entry) ? std::optional(id) : std::nullopt});
     }
-    // Guards against settings that have lost a message's class since.
+    // Throws std::out_of_range if the settings no longer have the class of a message.
     for (auto& [id, message] : messages_)
       message.class_settings = &s_.classes.at(message.arrival.message_class);
     for (const auto& [id, ids] : waiting) {
