--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -10,20 +10,21 @@
 using starlinghook::Outcome;
 using starlinghook::Time;
 
-// Big-endian fields of one record or entry; the caller has checked that the record is whole.
+// Big-endian fields of one record or entry. The caller has checked that the record is complete.
 class Fields {
  public:
   explicit Fields(std::string_view bytes) : bytes_(bytes) {}
-  std::uint64_t number(std::size_t at, std::size_t width) const {
+  std::uint64_t number(std::size_t offset, std::size_t width) const {
     std::uint64_t value = 0;
-    for (std::size_t i = 0; i < width; ++i) value = value << 8 | static_cast<std::uint8_t>(bytes_[at + i]);
+    for (std::size_t i = 0; i < width; ++i)
+      value = value << 8 | static_cast<std::uint8_t>(bytes_[offset + i]);
     return value;
   }
-  std::uint8_t u8(std::size_t at) const { return static_cast<std::uint8_t>(number(at, 1)); }
-  std::uint16_t u16(std::size_t at) const { return static_cast<std::uint16_t>(number(at, 2)); }
-  std::uint32_t u32(std::size_t at) const { return static_cast<std::uint32_t>(number(at, 4)); }
-  std::uint64_t u64(std::size_t at) const { return number(at, 8); }
-  float f32(std::size_t at) const { return std::bit_cast<float>(u32(at)); }
+  std::uint8_t u8(std::size_t offset) const { return static_cast<std::uint8_t>(number(offset, 1)); }
+  std::uint16_t u16(std::size_t offset) const { return static_cast<std::uint16_t>(number(offset, 2)); }
+  std::uint32_t u32(std::size_t offset) const { return static_cast<std::uint32_t>(number(offset, 4)); }
+  std::uint64_t u64(std::size_t offset) const { return number(offset, 8); }
+  float f32(std::size_t offset) const { return std::bit_cast<float>(u32(offset)); }
 
  private:
   std::string_view bytes_;
@@ -31,13 +32,13 @@
 
 std::string_view tail_slice(std::string_view tail, std::uint64_t from, std::uint64_t length) {
   if (from > tail.size() || length > tail.size() - from)
-    throw InputError("an offset points outside the tail");
+    throw InputError("offset and length exceed the tail");
   return tail.substr(from, length);
 }
 
 Time parse_time(std::uint64_t value) {
   if (value > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
-    throw InputError("a time is out of range");
+    throw InputError("time is out of range");
   }
   return Time(static_cast<std::int64_t>(value));
 }
@@ -51,97 +52,96 @@
 
 std::vector<starlinghook::EndpointEntry> decode_entries(std::string_view bytes) {
   std::vector<starlinghook::EndpointEntry> entries;
-  for (std::size_t at = 0; at < bytes.size(); at += kEntrySize) {
-    Fields f(bytes.substr(at, kEntrySize));
-    starlinghook::EndpointEntry e;
-    e.zone = f.u8(0);
-    e.kind = f.u16(1);
-    e.rate = f.f32(3);
-    e.endpoint = f.u32(7);
-    std::uint8_t condition = f.u8(11);
-    if (condition > 2) throw InputError("unknown condition of a list entry");
-    e.condition = static_cast<starlinghook::Condition>(condition);
-    e.destination = f.u16(20);
-    if (!std::isfinite(e.rate) || e.rate < 0) throw InputError("a list entry has no valid rate");
-    entries.push_back(e);
+  for (std::size_t offset = 0; offset < bytes.size(); offset += kEntrySize) {
+    Fields fields(bytes.substr(offset, kEntrySize));
+    starlinghook::EndpointEntry entry;
+    entry.zone = fields.u8(0);
+    entry.kind = fields.u16(1);
+    entry.rate = fields.f32(3);
+    entry.endpoint = fields.u32(7);
+    std::uint8_t condition = fields.u8(11);
+    if (condition > 2) throw InputError("unknown condition in a list entry");
+    entry.condition = static_cast<starlinghook::Condition>(condition);
+    entry.destination = fields.u16(20);
+    if (!std::isfinite(entry.rate) || entry.rate < 0) throw InputError("list entry has an invalid rate");
+    entries.push_back(entry);
   }
   return entries;
 }
 
-void decode_stats(const Fields& f, std::size_t at, EventRecord& r) {
-  r.stat_count = f.u8(at);
-  if (r.stat_count > r.stats.size()) throw InputError("a load report has too many values");
-  for (std::size_t i = 0; i < r.stats.size(); ++i) r.stats[i] = f.f32(at + 1 + 4 * i);
+void decode_stats(const Fields& fields, std::size_t offset, EventRecord& record) {
+  record.stat_count = fields.u8(offset);
+  if (record.stat_count > record.stats.size()) throw InputError("load report has too many values");
+  for (std::size_t i = 0; i < record.stats.size(); ++i) record.stats[i] = fields.f32(offset + 1 + 4 * i);
 }
 
-EventRecord decode_event(const Fields& f, std::string_view tail) {
+EventRecord decode_event(const Fields& fields, std::string_view tail) {
   EventRecord r;
-  std::uint8_t code = f.u8(0);
+  std::uint8_t code = fields.u8(0);
   if (code < 16 || code > 26) throw InputError("unknown event code " + std::to_string(code));
   r.code = static_cast<EventCode>(code);
-  r.instance = f.u16(1);
+  r.instance = fields.u16(1);
   switch (r.code) {
     case EventCode::health_result:
-      r.ended.endpoint = f.u32(3);
-      r.ended.outcome = parse_outcome(f.u16(7));
-      decode_stats(f, 13, r);
+      r.ended.endpoint = fields.u32(3);
+      r.ended.outcome = parse_outcome(fields.u16(7));
+      decode_stats(fields, 13, r);
       break;
     case EventCode::ended:
-      r.message = r.ended.id = f.u64(3);
-      r.ended.attempt = f.u8(11);
-      r.ended.endpoint = f.u32(12);
-      r.ended.outcome = parse_outcome(f.u16(16));
-      r.ended.finished = f.u8(22) != 0;
-      if (r.ended.outcome == Outcome::full) r.ended.retry_after = std::chrono::milliseconds(f.u32(23));
-      r.ended.no_slot = r.ended.outcome == Outcome::not_sent && f.u32(23) == 1;
-      decode_stats(f, 27, r);
+      r.message = r.ended.id = fields.u64(3);
+      r.ended.attempt = fields.u8(11);
+      r.ended.endpoint = fields.u32(12);
+      r.ended.outcome = parse_outcome(fields.u16(16));
+      r.ended.finished = fields.u8(22) != 0;
+      if (r.ended.outcome == Outcome::full) r.ended.retry_after = std::chrono::milliseconds(fields.u32(23));
+      r.ended.no_slot = r.ended.outcome == Outcome::not_sent && fields.u32(23) == 1;
+      decode_stats(fields, 27, r);
       break;
     case EventCode::list:
-      r.list_number = f.u16(1);
-      if (r.list_number >= kMaxLists) throw InputError("a list number is out of range");
-      r.entries = decode_entries(tail_slice(tail, f.u32(3), std::uint64_t{f.u32(7)} * kEntrySize));
+      r.list_number = fields.u16(1);
+      if (r.list_number >= kMaxLists) throw InputError("list number is out of range");
+      r.entries = decode_entries(tail_slice(tail, fields.u32(3), std::uint64_t{fields.u32(7)} * kEntrySize));
       break;
     case EventCode::inbox:
-      r.sender = f.u32(3);
-      r.text = tail_slice(tail, f.u32(7), f.u32(11));
+      r.sender = fields.u32(3);
+      r.text = tail_slice(tail, fields.u32(7), fields.u32(11));
       break;
     case EventCode::wake:
-      r.label = f.u64(3);
+      r.label = fields.u64(3);
       break;
     case EventCode::order: {
-      r.message = r.arrival.id = f.u64(3);
-      r.arrival.message_class = f.u8(11);
-      r.arrival.tenant = f.u32(12);
-      r.arrival.key = f.u64(16);
-      r.arrival.time_left = Time(f.u32(24));
-      float destination = f.f32(32);
-      if (!(destination >= 0 && destination <= 65535))
-        throw InputError("a message names no valid destination");
+      r.message = r.arrival.id = fields.u64(3);
+      r.arrival.message_class = fields.u8(11);
+      r.arrival.tenant = fields.u32(12);
+      r.arrival.key = fields.u64(16);
+      r.arrival.time_left = Time(fields.u32(24));
+      float destination = fields.f32(32);
+      if (!(destination >= 0 && destination <= 65535)) throw InputError("message has an invalid destination");
       r.arrival.destination = static_cast<starlinghook::DestinationId>(destination);
       break;
     }
     case EventCode::kill:
       break;
     case EventCode::roster_change: {
-      std::uint8_t form = f.u8(3);
-      if (form > 3) throw InputError("unknown form of a list change");
+      std::uint8_t form = fields.u8(3);
+      if (form > 3) throw InputError("unknown form in a list change");
       r.form = static_cast<RosterForm>(form);
-      r.list_number = f.u16(4);
+      r.list_number = fields.u16(4);
       if (r.form != RosterForm::failed && r.list_number >= kMaxLists) {
-        throw InputError("a list number is out of range");
+        throw InputError("list number is out of range");
       }
       break;
     }
     case EventCode::opened:
-      r.message = f.u64(3);
-      r.ended.attempt = f.u8(11);
+      r.message = fields.u64(3);
+      r.ended.attempt = fields.u8(11);
       break;
     case EventCode::new_instance:
-      r.salt = f.u64(3);
-      r.text = tail_slice(tail, f.u32(11), f.u32(15));
+      r.salt = fields.u64(3);
+      r.text = tail_slice(tail, fields.u32(11), fields.u32(15));
       break;
     case EventCode::dropped:
-      r.message = f.u64(3);
+      r.message = fields.u64(3);
       break;
   }
   return r;
@@ -151,14 +151,15 @@
   for (std::size_t i = width; i-- > 0;) out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 
-// A span that must fit 32 bits: more is cut to the longest that can be said, less than nothing is nothing.
+// Converts to 32 bits: a longer time becomes the maximum, a negative one zero.
 std::uint32_t saturated_span(Time t) {
   if (t.count() <= 0) return 0;
   if (t.count() > std::numeric_limits<std::uint32_t>::max()) return std::numeric_limits<std::uint32_t>::max();
   return static_cast<std::uint32_t>(t.count());
 }
 
-// One action record: code and instance at once, then the fields, padded when it goes out of scope.
+// One action record: the constructor writes code and instance, the destructor pads the record to its full
+// size.
 class Record {
  public:
   Record(std::string& out, ActionCode code, std::uint16_t instance) : out_(out), start_(out.size()) {
@@ -193,18 +194,18 @@
 
 std::size_t frame_length(std::string_view start) {
   std::size_t length = Fields(start).u32(0);
-  if (length < kBatchHeaderSize) throw InputError("a frame is shorter than its header");
+  if (length < kBatchHeaderSize) throw InputError("frame is shorter than its header");
   return length;
 }
 
 Batch decode_batch(std::string_view frame) {
   if (frame.size() < kBatchHeaderSize || frame_length(frame) != frame.size()) {
-    throw InputError("a frame is truncated or of another length than it says");
+    throw InputError("frame length does not match its header");
   }
   Fields header(frame);
   std::uint64_t count = header.u32(4);
   if (count > (frame.size() - kBatchHeaderSize) / kEventSize)
-    throw InputError("a frame is too short for its records");
+    throw InputError("frame is too short for its record count");
   Batch batch;
   batch.clock = parse_time(header.u64(8));
   std::string_view tail = frame.substr(kBatchHeaderSize + count * kEventSize);
--- a/adapter/instances.cpp
+++ b/adapter/instances.cpp
@@ -5,24 +5,24 @@
 namespace wire {
 namespace {
 
-starlinghook::LoadReport load_report(const EventRecord& r, const InstanceSettings& boot) {
+starlinghook::LoadReport load_report(const EventRecord& record, const InstanceSettings& config) {
   starlinghook::LoadReport report;
-  if (r.stat_count == 0 || !boot.settings.reports_allowance) return report;
-  if (boot.allowance_field >= r.stat_count || boot.limit_field >= r.stat_count) return report;
+  if (record.stat_count == 0 || !config.settings.reports_allowance) return report;
+  if (config.allowance_field >= record.stat_count || config.limit_field >= record.stat_count) return report;
   report.present = true;
-  report.allowance_left = r.stats[static_cast<std::size_t>(boot.allowance_field)];
-  report.limit = r.stats[static_cast<std::size_t>(boot.limit_field)];
+  report.allowance_left = record.stats[static_cast<std::size_t>(config.allowance_field)];
+  report.limit = record.stats[static_cast<std::size_t>(config.limit_field)];
   return report;
 }
 
 }  // namespace
 
-bool Instances::to_event(const EventRecord& r, const InstanceSettings& boot,
+bool Instances::to_event(const EventRecord& r, const InstanceSettings& config,
                          starlinghook::Event& event) const {
   switch (r.code) {
     case EventCode::order:
-      if (r.arrival.message_class >= boot.settings.classes.size())
-        throw InputError("a message of an unknown class");
+      if (r.arrival.message_class >= config.settings.classes.size())
+        throw InputError("message has an unknown class");
       event = r.arrival;
       return true;
     case EventCode::dropped:
@@ -30,13 +30,13 @@
       return true;
     case EventCode::ended: {
       starlinghook::AttemptEnded ended = r.ended;
-      ended.report = load_report(r, boot);
+      ended.report = load_report(r, config);
       event = ended;
       return true;
     }
     case EventCode::health_result:
       event = starlinghook::ProbeEnded{r.ended.endpoint, r.ended.outcome, r.ended.retry_after,
-                                       load_report(r, boot)};
+                                       load_report(r, config)};
       return true;
     case EventCode::roster_change:
       if (r.form == RosterForm::failed) {
@@ -44,7 +44,7 @@
       } else {
         starlinghook::ListChanged change{r.form != RosterForm::delta, r.form == RosterForm::cached,
                                          lists_[r.list_number]};
-        if (!boot.rates_listed) {
+        if (!config.rates_listed) {
           for (starlinghook::EndpointEntry& entry : change.entries) entry.rate = 0;
         }
         event = std::move(change);
@@ -53,8 +53,8 @@
     case EventCode::wake:
       event = starlinghook::TimerExpired{r.label};
       return true;
-    case EventCode::inbox:   // the module sends no notes and heeds none
-    case EventCode::opened:  // the answer goes to the client by itself; nothing is decided on it
+    case EventCode::inbox:   // the library neither sends nor uses notes
+    case EventCode::opened:  // the answer goes to the client without a decision of the library
     case EventCode::list:
     case EventCode::kill:
     case EventCode::new_instance:
@@ -75,16 +75,16 @@
   actions_.clear();
   try {
     if (r.code == EventCode::new_instance) {
-      InstanceSettings boot = parse_instance_settings(r.text, r.salt);
-      starlinghook::Forwarder forwarder(boot.settings);
-      auto instance = std::make_unique<Instance>(Instance{std::move(boot), std::move(forwarder)});
+      InstanceSettings config = parse_instance_settings(r.text, r.salt);
+      starlinghook::Forwarder forwarder(config.settings);
+      auto instance = std::make_unique<Instance>(Instance{std::move(config), std::move(forwarder)});
       instance->forwarder.start(clock, actions_);
       instances_[r.instance] = std::move(instance);
     } else {
       auto found = instances_.find(r.instance);
-      if (found == instances_.end()) throw InputError("an event for an instance that is not running");
+      if (found == instances_.end()) throw InputError("event for an instance that is not running");
       starlinghook::Event event;
-      if (to_event(r, found->second->boot, event)) found->second->forwarder.handle(clock, event, actions_);
+      if (to_event(r, found->second->config, event)) found->second->forwarder.handle(clock, event, actions_);
     }
   } catch (const InputError&) {
     throw;
--- a/adapter/instances.hpp
+++ b/adapter/instances.hpp
@@ -1,4 +1,4 @@
-// The forwarders of one process, each on its own, and the turn of one batch into one reply.
+// The independent forwarders of one process; turns each batch of events into one reply.
 #pragma once
 
 #include <array>
@@ -13,16 +13,16 @@
 
 class Instances {
  public:
-  // Plays one whole frame and returns the reply frame. Throws BadInput.
+  // Processes one complete frame and returns the reply frame. Throws InputError.
   std::string process_frame(std::string_view frame);
 
  private:
   struct Instance {
-    InstanceSettings boot;
+    InstanceSettings config;
     starlinghook::Forwarder forwarder;
   };
   void handle_event(starlinghook::Time clock, const EventRecord& record);
-  bool to_event(const EventRecord& record, const InstanceSettings& boot, starlinghook::Event& event) const;
+  bool to_event(const EventRecord& record, const InstanceSettings& config, starlinghook::Event& event) const;
 
   std::map<std::uint16_t, std::unique_ptr<Instance>> instances_;
   std::array<std::vector<starlinghook::EndpointEntry>, kMaxLists> lists_;
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-// Appends so many bytes; false if the input ended before the first of them. Reads in pieces, so a frame that
-// only claims to be long takes no memory.
+// Appends `count` bytes; returns false if the input ends before the first of them. Reads in chunks, so that a
+// frame with a false length takes no memory.
 bool read_bytes(std::string& into, std::size_t count) {
-  constexpr std::size_t kPiece = 1 << 16;
+  constexpr std::size_t kChunkSize = 1 << 16;
   const bool at_start = into.empty();
   while (count > 0) {
-    std::size_t piece = std::min(count, kPiece);
+    std::size_t chunk = std::min(count, kChunkSize);
     std::size_t start = into.size();
-    into.resize(start + piece);
-    std::size_t got = std::fread(into.data() + start, 1, piece, stdin);
-    if (got == 0 && start == 0 && at_start) return false;
-    if (got < piece) throw wire::InputError("the input ends inside a frame");
-    count -= piece;
+    into.resize(start + chunk);
+    std::size_t received = std::fread(into.data() + start, 1, chunk, stdin);
+    if (received == 0 && start == 0 && at_start) return false;
+    if (received < chunk) throw wire::InputError("input ended inside a frame");
+    count -= chunk;
   }
   return true;
 }
@@ -33,7 +33,7 @@
     read_bytes(frame, wire::frame_length(frame) - 4);
     std::string reply = instances.process_frame(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-      throw wire::InputError("the reply could not be written");
+      throw wire::InputError("cannot write the reply");
     }
   }
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -12,7 +12,7 @@
 using starlinghook::KeyScope;
 using starlinghook::Time;
 
-// path=value pairs by path. Readers throw on what is needed and missing, and on what cannot be read.
+// path=value pairs by path. Readers throw if a required value is missing or a value cannot be parsed.
 class SettingsReader {
  public:
   explicit SettingsReader(SettingsMap values) : values_(std::move(values)) {}
@@ -27,20 +27,20 @@
     return *value;
   }
   double number(const std::string& path) const { return parse_number(path, text(path)); }
-  double number(const std::string& path, double absent) const {
+  double number(const std::string& path, double fallback) const {
     const std::string* value = find(path);
-    return value ? parse_number(path, *value) : absent;
+    return value ? parse_number(path, *value) : fallback;
   }
   std::uint64_t count(const std::string& path) const { return parse_count(path, text(path)); }
-  std::uint64_t count(const std::string& path, std::uint64_t absent) const {
+  std::uint64_t count(const std::string& path, std::uint64_t fallback) const {
     const std::string* value = find(path);
-    return value ? parse_count(path, *value) : absent;
+    return value ? parse_count(path, *value) : fallback;
   }
   Time span(const std::string& path) const { return Time(static_cast<std::int64_t>(count(path))); }
-  Time span(const std::string& path, Time absent) const { return find(path) ? span(path) : absent; }
-  bool flag(const std::string& path, bool absent) const {
+  Time span(const std::string& path, Time fallback) const { return find(path) ? span(path) : fallback; }
+  bool flag(const std::string& path, bool fallback) const {
     const std::string* value = find(path);
-    return value ? parse_flag(path, *value) : absent;
+    return value ? parse_flag(path, *value) : fallback;
   }
   std::vector<std::string> list(const std::string& path) const {
     const std::string* value = find(path);
@@ -80,17 +80,17 @@
   SettingsMap values_;
 };
 
-constexpr std::uint64_t kMaxItems = 256;  // classes or tenants that a record's field can name
+constexpr std::uint64_t kMaxItems = 256;  // classes or tenants; a record numbers a class with one byte
 
-std::uint64_t item_count(const SettingsReader& in, const std::string& path, std::uint64_t absent) {
-  std::uint64_t n = in.count(path, absent);
+std::uint64_t item_count(const SettingsReader& in, const std::string& path, std::uint64_t fallback) {
+  std::uint64_t n = in.count(path, fallback);
   if (n > kMaxItems) throw InputError("setting " + path + " is out of range");
   return n;
 }
 
-starlinghook::ClassSettings read_class(const SettingsReader& in, const std::string& at) {
+starlinghook::ClassSettings read_class(const SettingsReader& in, const std::string& prefix) {
   starlinghook::ClassSettings c;
-  const std::string& effect = in.text(at + "effect");
+  const std::string& effect = in.text(prefix + "effect");
   if (effect == "free") {
     c.effect = Effect::safe;
   } else if (effect == "guarded") {
@@ -98,22 +98,22 @@
   } else if (effect == "single_shot") {
     c.effect = Effect::unsafe;
   } else {
-    throw InputError("setting " + at + "effect is unknown: " + effect);
+    throw InputError("setting " + prefix + "effect is unknown: " + effect);
   }
-  c.aim = in.span(at + "aim_us");
-  c.deadline = in.span(at + "give_up_us");
-  c.worth = in.number(at + "worth", 1);
-  c.late_worth = in.number(at + "late_worth", 0);
-  c.sequential = in.flag(at + "sequential", false);
+  c.aim = in.span(prefix + "aim_us");
+  c.deadline = in.span(prefix + "give_up_us");
+  c.worth = in.number(prefix + "worth", 1);
+  c.late_worth = in.number(prefix + "late_worth", 0);
+  c.sequential = in.flag(prefix + "sequential", false);
   if (c.effect == Effect::keyed) {
-    c.dedup_window = in.span(at + "window_us");
-    const std::string& scope = in.text(at + "key_scope");
+    c.dedup_window = in.span(prefix + "window_us");
+    const std::string& scope = in.text(prefix + "key_scope");
     if (scope == "all") {
       c.key_scope = KeyScope::all;
     } else if (scope == "zone") {
       c.key_scope = KeyScope::zone;
     } else {
-      throw InputError("setting " + at + "key_scope is unknown: " + scope);
+      throw InputError("setting " + prefix + "key_scope is unknown: " + scope);
     }
   }
   return c;
@@ -144,24 +144,24 @@
   std::uint64_t classes = item_count(in, "request_classes.count", 0);
   if (classes == 0) throw InputError("the settings name no class of message");
   for (std::uint64_t i = 0; i < classes; ++i) {
-    const std::string at = "request_classes." + std::to_string(i) + ".";
-    s.classes.push_back(read_class(in, at));
-    info.classes.push_back(in.find(at + "name") ? in.text(at + "name") : std::string());
+    const std::string prefix = "request_classes." + std::to_string(i) + ".";
+    s.classes.push_back(read_class(in, prefix));
+    info.classes.push_back(in.find(prefix + "name") ? in.text(prefix + "name") : std::string());
   }
   for (std::uint64_t i = 0; i < item_count(in, "orgs.count", 0); ++i) {
-    const std::string at = "orgs." + std::to_string(i) + ".";
-    s.tenants.push_back({in.number(at + "quota_per_s", 0)});
-    info.tenants.push_back(in.find(at + "name") ? in.text(at + "name") : std::string());
+    const std::string prefix = "orgs." + std::to_string(i) + ".";
+    s.tenants.push_back({in.number(prefix + "quota_per_s", 0)});
+    info.tenants.push_back(in.find(prefix + "name") ? in.text(prefix + "name") : std::string());
   }
-  std::vector<std::string> apart = in.list("domain.routes_apart");
-  std::vector<std::string> batch = in.list("domain.kind_batch");
-  s.kinds.resize(std::max({apart.size(), batch.size(), in.list("skus").size()}));
-  for (std::size_t i = 0; i < apart.size(); ++i) {
-    s.kinds[i].separate_routes = SettingsReader::parse_flag("domain.routes_apart", apart[i]);
+  std::vector<std::string> separate_routes = in.list("domain.routes_apart");
+  std::vector<std::string> max_batch = in.list("domain.kind_batch");
+  s.kinds.resize(std::max({separate_routes.size(), max_batch.size(), in.list("skus").size()}));
+  for (std::size_t i = 0; i < separate_routes.size(); ++i) {
+    s.kinds[i].separate_routes = SettingsReader::parse_flag("domain.routes_apart", separate_routes[i]);
   }
-  for (std::size_t i = 0; i < batch.size(); ++i) {
+  for (std::size_t i = 0; i < max_batch.size(); ++i) {
     s.kinds[i].max_batch =
-        std::max<std::uint64_t>(1, SettingsReader::parse_count("domain.kind_batch", batch[i]));
+        std::max<std::uint64_t>(1, SettingsReader::parse_count("domain.kind_batch", max_batch[i]));
   }
   if (const std::string* late = in.find("domain.late")) {
     if (*late != "even" && *late != "by_half") throw InputError("setting domain.late is unknown: " + *late);
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -1,5 +1,5 @@
-// The settings of one instance, read from path=value pairs: the simulator's wire brings them as text, the
-// relay's configuration as JSON, and both are read here.
+// Settings of one instance, read from path=value pairs. The simulator sends them as text, the relay's
+// configuration holds them as JSON; both are read here.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace wire {
 
-// What was read is not what its description allows.
+// Input that does not match its format.
 class InputError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,16 +23,16 @@
 
 struct InstanceSettings {
   starlinghook::Settings settings;
-  int allowance_field = -1;  // place of the allowance in load reports
+  int allowance_field = -1;  // index of the allowance in load reports
   int limit_field = -1;
-  bool rates_listed = true;                                 // false: the list's rates are placeholders
-  std::vector<std::string> classes, tenants, kinds, zones;  // names, by position
-  std::vector<std::string> report_names;                    // values of a load report, by place
+  bool rates_listed = true;                                 // false: the rates in the list are placeholders
+  std::vector<std::string> classes, tenants, kinds, zones;  // names, by index
+  std::vector<std::string> report_names;                    // names of the values in a load report, by index
 };
 
-// Unknown keys are skipped; a needed one that is missing or cannot be read throws BadInput.
+// Ignores unknown keys; throws InputError if a required one is missing or cannot be parsed.
 InstanceSettings read_settings(SettingsMap values, std::uint64_t salt);
-// The same from lines of path=value.
+// Reads the same settings from lines of path=value.
 InstanceSettings parse_instance_settings(std::string_view text, std::uint64_t salt);
 
 }  // namespace wire
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,4 +1,5 @@
-// The wire of the bench: frames, event and action records, list entries. Only translation happens here.
+// The simulator's wire format: frames, event and action records, list entries. Translates only and decides
+// nothing.
 #pragma once
 
 #include <array>
@@ -51,7 +52,7 @@
 
 enum class RosterForm : std::uint8_t { delta = 0, full = 1, cached = 2, failed = 3 };
 
-// One event record, decoded; only the fields of its code are set.
+// One decoded event record. Only the fields that belong to its code are set.
 struct EventRecord {
   EventCode code{};
   std::uint16_t instance = 0;
@@ -62,7 +63,7 @@
   RosterForm form{};                                 // roster_change
   std::uint64_t message = 0;                         // order, ended, opened, dropped
   starlinghook::MessageArrived arrival;              // order
-  starlinghook::AttemptEnded ended;                  // ended; also the probe's outcome of health_result
+  starlinghook::AttemptEnded ended;                  // ended; also the outcome of the probe in health_result
   std::array<float, 4> stats{};                      // ended, health_result
   std::uint8_t stat_count = 0;
   std::uint64_t label = 0;   // wake
@@ -74,9 +75,9 @@
   std::vector<EventRecord> events;
 };
 
-// Decodes a whole frame, header included. Throws BadInput.
+// Decodes a complete frame including its header. Throws InputError.
 Batch decode_batch(std::string_view frame);
-// Length of the frame that starts with these bytes (at least four of them). Throws BadInput.
+// Length of the frame that starts with these bytes, of which there must be at least four. Throws InputError.
 std::size_t frame_length(std::string_view start);
 
 class ReplyWriter {
