--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// The wire, against byte strings written for these tests.
+// Tests of the simulator's wire format against byte strings written for them.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -74,22 +74,22 @@
   EXPECT_FLOAT_EQ(e.stats[1], 2.0F);
 }
 
-TEST(Codec, TellsAMissingSlotFromOtherMootSends) {
-  auto moot = [](int note) {
+TEST(Codec, DistinguishesAMissingSlotFromOtherUnsentCalls) {
+  auto unsent_call = [](int note) {
     return record(number(17, 1) + number(3, 2) + number(99, 8) + number(0, 1) + number(5, 4) + number(7, 2) +
                   number(0, 4) + number(0, 1) + number(note, 4));
   };
-  wire::Batch batch = wire::decode_batch(frame(1, {moot(1), moot(0)}));
+  wire::Batch batch = wire::decode_batch(frame(1, {unsent_call(1), unsent_call(0)}));
   EXPECT_TRUE(batch.events[0].ended.no_slot);
   EXPECT_FALSE(batch.events[1].ended.no_slot);
   EXPECT_EQ(batch.events[0].ended.retry_after, Time(0));
 }
 
-TEST(Codec, RefusesWhatIsInconsistent) {
-  std::string good = frame(1, {record(number(26, 1) + number(3, 2) + number(9, 8))});
-  EXPECT_EQ(wire::decode_batch(good).events.size(), 1u);
-  EXPECT_THROW(wire::decode_batch(good.substr(0, good.size() - 1)), wire::InputError);
-  EXPECT_THROW(wire::decode_batch(good + "x"), wire::InputError);
+TEST(Codec, RejectsInconsistentFrames) {
+  std::string valid = frame(1, {record(number(26, 1) + number(3, 2) + number(9, 8))});
+  EXPECT_EQ(wire::decode_batch(valid).events.size(), 1u);
+  EXPECT_THROW(wire::decode_batch(valid.substr(0, valid.size() - 1)), wire::InputError);
+  EXPECT_THROW(wire::decode_batch(valid + "x"), wire::InputError);
   EXPECT_THROW(wire::decode_batch(frame(1, {record(number(99, 1))})), wire::InputError);
   EXPECT_THROW(wire::decode_batch(frame(1, {list_record(0, 0, 1)}, "short")), wire::InputError);
   EXPECT_THROW(wire::decode_batch(frame(1, {list_record(16, 0, 0)})), wire::InputError);
@@ -119,26 +119,27 @@
     s.resize(wire::kActionSize, '\0');
     return s;
   };
-  std::string i = number(3, 2);
-  std::string body =
-      action(number(16, 1) + i + number(0x26ffa5d3a91c4, 8) + number(0x3124a07, 4) + number(80000, 4)) +
-      action(number(17, 1) + i + number(9, 8) + number(250000, 4)) +
-      action(number(18, 1) + i + number(9, 8)) + action(number(19, 1) + i + number(9, 8) + number(2, 1)) +
-      action(number(21, 1) + i + number(7, 4)) +
-      action(number(20, 1) + i + number(0x87fd7a, 8) + number(0x4d, 8)) +
-      action(number(26, 1) + i + number(1, 1)) + action(number(27, 1) + i) +
-      action(number(24, 1) + number(5, 2) + number(0, 4) + number(3, 4)) + "two";
+  std::string instance = number(3, 2);
+  std::string body = action(number(16, 1) + instance + number(0x26ffa5d3a91c4, 8) + number(0x3124a07, 4) +
+                            number(80000, 4)) +
+                     action(number(17, 1) + instance + number(9, 8) + number(250000, 4)) +
+                     action(number(18, 1) + instance + number(9, 8)) +
+                     action(number(19, 1) + instance + number(9, 8) + number(2, 1)) +
+                     action(number(21, 1) + instance + number(7, 4)) +
+                     action(number(20, 1) + instance + number(0x87fd7a, 8) + number(0x4d, 8)) +
+                     action(number(26, 1) + instance + number(1, 1)) + action(number(27, 1) + instance) +
+                     action(number(24, 1) + number(5, 2) + number(0, 4) + number(3, 4)) + "two";
   EXPECT_EQ(w.finish(), number(8 + body.size(), 4) + number(9, 4) + body);
   EXPECT_EQ(w.finish(), number(8, 4) + number(0, 4));
 }
 
-TEST(Codec, CutsATimeoutThatDoesNotFit) {
+TEST(Codec, ClampsATimeoutThatDoesNotFit) {
   wire::ReplyWriter w;
   w.add(0, starlinghook::Send{1, 2, Time(std::int64_t{1} << 40)});
   EXPECT_EQ(w.finish().substr(8 + 15, 4), std::string(4, '\xff'));
 }
 
-TEST(BootInfo, SkipsUnknownKeysAndNamesWhatIsMissing) {
+TEST(InstanceSettings, IgnoresUnknownKeysAndRejectsMissingOrInvalidOnes) {
   wire::InstanceSettings info = wire::parse_instance_settings(kSettings, 7);
   EXPECT_EQ(info.settings.slots, 8u);
   EXPECT_EQ(info.settings.kinds.size(), 2u);
@@ -170,10 +171,11 @@
   EXPECT_NE(reply.find(second), std::string::npos);
 }
 
-TEST(Instances, WeightsNoneIsNoRateAndAToldRateIsOne) {
-  // Twelve messages for a destination listed with 1: as a rate it is one call a second, else no pace at all.
-  for (bool told : {true, false}) {
-    const std::string text = std::string(kSettings) + (told ? "weights=nominal\n" : "weights=none\n");
+TEST(Instances, ListedRatesApplyUnlessWeightsAreNone) {
+  // Twelve messages for a destination listed with 1: as a rate that is one call a second, otherwise there is
+  // no pace.
+  for (bool listed : {true, false}) {
+    const std::string text = std::string(kSettings) + (listed ? "weights=nominal\n" : "weights=none\n");
     const std::string tail = text + entry(0, 0, 0x3f800000, 11, 1, 1);
     wire::Instances instances;
     instances.process_frame(frame(
@@ -192,7 +194,7 @@
                                         number(11, 4) + number(1, 2) + number(5000, 4) + number(1, 1))}));
       }
     }
-    if (told) {
+    if (listed) {
       EXPECT_LE(sent, 2u);
     } else {
       EXPECT_EQ(sent, 12u);
@@ -200,7 +202,7 @@
   }
 }
 
-TEST(BootInfo, ReadsWhatTheNewDeploymentsTell) {
+TEST(InstanceSettings, ReadsOptionalSettings) {
   const wire::InstanceSettings info = wire::parse_instance_settings(
       std::string(kSettings) +
           "limits.streams_per_conn=8\nguarantees.key_quiet_us=100000\ndomain.late=by_half\n"
@@ -214,7 +216,7 @@
   EXPECT_TRUE(info.settings.classes.at(0).sequential);
 }
 
-TEST(Instances, ForgetsEverythingAtAKillAndStartsAgainInTheSameBatch) {
+TEST(Instances, AKillClearsAllStateAndARestartInTheSameBatchWorks) {
   std::string tail = std::string(kSettings) + entry(0, 0, kForty, 11, 1, 1);
   std::size_t n = std::string(kSettings).size();
   wire::Instances instances;
@@ -224,7 +226,7 @@
   std::string reply = instances.process_frame(
       frame(2000, {kill, new_instance_record(0, 0, n), message_record(0, 5, kOne)}, kSettings));
   EXPECT_EQ(reply.find(number(16, 1) + number(0, 2) + number(5, 8)), std::string::npos)
-      << "its list was forgotten";
+      << "its list was discarded";
   EXPECT_THROW(instances.process_frame(frame(3000, {kill, message_record(0, 6, kOne)})), wire::InputError);
 }
 
@@ -233,12 +235,12 @@
   EXPECT_EQ(instances.process_frame(frame(1, {})), number(8, 4) + number(0, 4));
 }
 
-TEST(Instances, ReportsAnExceptionOfTheModuleAsPanic) {
+TEST(Instances, ReportsAnExceptionOfTheLibraryAsPanic) {
   std::string tail = kSettings;
   wire::Instances instances;
   instances.process_frame(frame(1000, {new_instance_record(0, 0, tail.size())}, tail));
   std::string probe = record(number(16, 1) + number(0, 2) + number(77, 4) + number(1, 2));
-  std::string reply = instances.process_frame(frame(2000, {probe}));  // of an endpoint that was in no list
+  std::string reply = instances.process_frame(frame(2000, {probe}));  // for an endpoint that is in no list
   EXPECT_EQ(static_cast<unsigned char>(reply.at(8)), 25u);
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Many forwarders against one modelled destination, without a bench: what each does alone is harmless, so the
-// bounds here are on the sum. Fixed seeds; time goes by in ticks.
+// Many forwarders against one modelled destination, without the simulator. What each does alone is harmless,
+// so the bounds are on the sum. Seeds are fixed; time advances in ticks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,12 +22,12 @@
 
 struct Scenario {
   std::uint32_t forwarders = 100;
-  double listed_rate = 60;         // calls a second, as the list says
-  double arrival_rate = 45;        // messages a second, of all forwarders together
-  bool counts_per_second = false;  // the limit is a count in each second; else a rate
+  double listed_rate = 60;         // calls a second, according to the list
+  double arrival_rate = 45;        // messages a second, over all forwarders
+  bool counts_per_second = false;  // the limit is a count in each second, not a rate
   bool counts_refused = false;
   bool requests_wait = false;
-  double low_share = 0.3;  // share of the limit left
+  double low_share = 0.3;  // share of the limit that remains
   Time falls_at = seconds(8), rises_at = seconds(17), ends_at = seconds(30);
   unsigned seed = 1;
 };
@@ -36,35 +36,38 @@
   std::size_t calls = 0, delivered = 0, refused = 0;
 };
 
-// A destination with a limit: a bucket, or a count in each second. What it reports is a while old and noisy.
+// A destination with a limit: a token bucket, or a count in each second. Its reports are delayed and noisy.
 class Destination {
  public:
-  explicit Destination(const Scenario& w) : w_(w), random_(w.seed), left_(w.listed_rate / 2) {}
+  explicit Destination(const Scenario& scenario)
+      : scenario_(scenario), random_(scenario.seed), left_(scenario.listed_rate / 2) {}
 
   double limit(Time t) const {
-    return w_.listed_rate * (t >= w_.falls_at && t < w_.rises_at ? w_.low_share : 1);
+    return scenario_.listed_rate *
+           (t >= scenario_.falls_at && t < scenario_.rises_at ? scenario_.low_share : 1);
   }
   void tick(Time t) {
-    const double depth = w_.counts_per_second ? limit(t) : std::max(1.0, limit(t) / 2);
-    if (w_.counts_per_second ? t % seconds(1) == Time(0) : true)
-      left_ = w_.counts_per_second ? depth : left_ + limit(t) * 0.01;
+    const double depth = scenario_.counts_per_second ? limit(t) : std::max(1.0, limit(t) / 2);
+    if (scenario_.counts_per_second ? t % seconds(1) == Time(0) : true)
+      left_ = scenario_.counts_per_second ? depth : left_ + limit(t) * 0.01;
     left_ = std::min(left_, depth);
     if (t % milliseconds(500) != Time(0)) return;
     report_ = {true, std::clamp(left_ / depth, 0.0, 1.0),
                limit(t) * std::uniform_real_distribution<>(0.9, 1.1)(random_)};
   }
-  // Whether the call is taken; else how long to wait, or nothing.
+  // Whether the call is accepted; if not, sets `wait` where the destination requests one.
   bool accept(Time t, Time& wait) {
     const bool room = left_ >= 1;
-    if (room || w_.counts_refused) left_ = std::max(left_ - 1, w_.counts_per_second ? 0.0 : -limit(t) / 2);
-    if (!room && w_.requests_wait)
-      wait = w_.counts_per_second ? seconds(1) - t % seconds(1) : Time(milliseconds(500));
+    if (room || scenario_.counts_refused)
+      left_ = std::max(left_ - 1, scenario_.counts_per_second ? 0.0 : -limit(t) / 2);
+    if (!room && scenario_.requests_wait)
+      wait = scenario_.counts_per_second ? seconds(1) - t % seconds(1) : Time(milliseconds(500));
     return room;
   }
   const LoadReport& report() const { return report_; }
 
  private:
-  const Scenario w_;
+  const Scenario scenario_;
   std::mt19937 random_;
   double left_;
   LoadReport report_;
@@ -72,22 +75,23 @@
 
 class Fleet {
  public:
-  explicit Fleet(const Scenario& w) : w_(w), random_(w.seed + 1000), destination_(w) {
-    for (std::uint32_t i = 0; i < w.forwarders; ++i) {
+  explicit Fleet(const Scenario& scenario)
+      : scenario_(scenario), random_(scenario.seed + 1000), destination_(scenario) {
+    for (std::uint32_t i = 0; i < scenario.forwarders; ++i) {
       members_.emplace_back(settings(i));
       Member& m = members_.back();
       m.forwarder.start(Time(0), m.actions);
-      handle(m, ListChanged{true, false, {{1, kDestination, 0, 0, w.listed_rate, Condition::ready}}});
+      handle(m, ListChanged{true, false, {{1, kDestination, 0, 0, scenario.listed_rate, Condition::ready}}});
     }
   }
 
-  // Second by second.
+  // Returns the counts of each second.
   std::vector<CallCounts> run() {
-    std::vector<CallCounts> seconds_seen;
-    std::poisson_distribution<> arrivals(w_.arrival_rate * 0.01);
-    for (now_ = Time(0); now_ < w_.ends_at; now_ += kTick) {
-      if (now_ % seconds(1) == Time(0)) seconds_seen.emplace_back();
-      counts_ = &seconds_seen.back();
+    std::vector<CallCounts> counts_by_second;
+    std::poisson_distribution<> arrivals(scenario_.arrival_rate * 0.01);
+    for (now_ = Time(0); now_ < scenario_.ends_at; now_ += kTick) {
+      if (now_ % seconds(1) == Time(0)) counts_by_second.emplace_back();
+      counts_ = &counts_by_second.back();
       destination_.tick(now_);
       for (; !answers_.empty() && answers_.front().at <= now_; answers_.pop_front()) {
         Answer a = answers_.front();
@@ -103,7 +107,7 @@
         handle(m, TimerExpired{});
       }
     }
-    return seconds_seen;
+    return counts_by_second;
   }
 
  private:
@@ -120,7 +124,7 @@
   };
 
   Settings settings(std::uint32_t index) const {
-    Settings s = test::fleet_settings(w_.seed, index, w_.forwarders);
+    Settings s = test::fleet_settings(scenario_.seed, index, scenario_.forwarders);
     s.slots = 6;
     s.reports_allowance = true;
     return s;
@@ -149,7 +153,7 @@
     answers_.push_back({now_ + milliseconds(60), static_cast<std::size_t>(&m - members_.data()), e});
   }
 
-  const Scenario w_;
+  const Scenario scenario_;
   std::mt19937 random_;
   Destination destination_;
   std::vector<Member> members_;
@@ -170,22 +174,24 @@
   return total;
 }
 
-// A limit that falls to a third for nine seconds and rises again. At some destinations refused calls use it
-// up, so that forwarders who go on asking for more than it together get nothing at all.
+// A limit that falls to a third for nine seconds and rises again. At some destinations refused calls use up
+// the limit, so that forwarders which together keep exceeding it get nothing at all.
 class FallingLimit : public testing::TestWithParam<std::tuple<std::uint32_t, bool, bool, bool>> {};
 
-TEST_P(FallingLimit, IsHeardOfBeforeRefusalsUseItUp) {
-  Scenario w;
-  std::tie(w.forwarders, w.counts_per_second, w.counts_refused, w.requests_wait) = GetParam();
-  for (w.seed = 1; w.seed <= 3; ++w.seed) {
-    const std::vector<CallCounts> seen = Fleet(w).run();
-    const CallCounts before = sum(seen, 2, 8), low = sum(seen, 10, 17), after = sum(seen, 19, 30);
-    const double rate = w.listed_rate * w.low_share * 7;  // what it takes while it is low
+TEST_P(FallingLimit, IsDetectedBeforeRefusalsUseItUp) {
+  Scenario scenario;
+  std::tie(scenario.forwarders, scenario.counts_per_second, scenario.counts_refused, scenario.requests_wait) =
+      GetParam();
+  for (scenario.seed = 1; scenario.seed <= 3; ++scenario.seed) {
+    const std::vector<CallCounts> counts = Fleet(scenario).run();
+    const CallCounts before = sum(counts, 2, 8), low = sum(counts, 10, 17), after = sum(counts, 19, 30);
+    // Calls that the destination accepts while the limit is low.
+    const double rate = scenario.listed_rate * scenario.low_share * 7;
     EXPECT_LE(before.refused, 10u);
-    EXPECT_LE(low.refused, w.forwarders == 100 ? 80u : 50u);
+    EXPECT_LE(low.refused, scenario.forwarders == 100 ? 80u : 50u);
     EXPECT_GE(static_cast<double>(low.delivered),
-              rate * (w.counts_refused && !w.counts_per_second ? 0.5 : 0.85));
-    EXPECT_GE(after.delivered, 420u) << "it comes back";
+              rate * (scenario.counts_refused && !scenario.counts_per_second ? 0.5 : 0.85));
+    EXPECT_GE(after.delivered, 420u) << "deliveries recover";
     EXPECT_LE(after.refused, 150u);
   }
 }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The module alone: no clock, no bench. One forwarder is driven event by event.
+// Tests of the library alone, without a clock or the simulator: one forwarder is driven event by event.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -46,7 +46,7 @@
   return s;
 }
 
-class ForwarderHarness {  // holds a forwarder, its time and what it did last
+class ForwarderHarness {  // a forwarder with its clock; collects the actions
  public:
   explicit ForwarderHarness(const Settings& s,
                             std::vector<EndpointEntry> list = {{1, 7, 0, 0, 50, Condition::ready}})
@@ -83,7 +83,7 @@
     handle(AttemptEnded{
         id, attempt, endpoint, o, finished || o == Outcome::delivered, wait, false, {}, false, Time(-1)});
   }
-  void advance(Time by) {  // firing the timers that fall due
+  void advance(Time by) {  // expires the timers that fall due
     Time until = now + by;
     while (true) {
       auto next = std::min_element(timers.begin(), timers.end());
@@ -100,7 +100,7 @@
   }
   Time last_send_time() const { return sent.back().second; }
 
-  // What it has noted, with a forwarder that knows nothing yet.
+  // Copies the collected actions; the forwarder of the copy starts without state.
   ForwarderHarness(const ForwarderHarness& other)
       : now(other.now),
         forwarder(Settings(settings())),
@@ -134,7 +134,7 @@
 }
 
 // --- The ordinary path
-TEST(OrdinaryPath, SendsAtOnceAndEndsWithTheDelivery) {
+TEST(OrdinaryPath, SendsAtOnceAndEndsWithDelivery) {
   ForwarderHarness b(settings());
   b.submit(1);
   ASSERT_EQ(b.send_count(1), 1u);
@@ -162,24 +162,24 @@
   EXPECT_NEAR(pause[2].count(), 3e6, 6e3);
 }
 
-TEST(OrdinaryPath, ToldWaitHoldsTheWholeDestination) {
+TEST(OrdinaryPath, RequestedWaitAppliesToTheWholeDestination) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 3);
   b.submit(1);
   b.submit(2);
-  Time told = b.now;
+  Time refused_at = b.now;
   b.outcome(1, Outcome::full, milliseconds(2500));
-  b.outcome(2, Outcome::full, milliseconds(100));  // never shortens it
+  b.outcome(2, Outcome::full, milliseconds(100));  // does not shorten the first wait
   b.submit(3);
   std::size_t before = b.sent.size();
   b.advance(milliseconds(2499));
   EXPECT_EQ(b.sent.size(), before);
   b.advance(milliseconds(100));
   EXPECT_GT(b.sent.size(), before);
-  EXPECT_GE(b.sent[before].second, told + milliseconds(2500));
+  EXPECT_GE(b.sent[before].second, refused_at + milliseconds(2500));
 }
 
-TEST(OrdinaryPath, WaitHoldsOneRouteWhereRoutesAreApart) {
+TEST(OrdinaryPath, RequestedWaitAppliesToOneRouteWhereRoutesAreSeparate) {
   ForwarderHarness b(settings(), {{1, 7, 0, 1, 50, Condition::ready}, {2, 7, 0, 1, 50, Condition::ready}});
   b.submit(1);
   EndpointId first = b.sent[0].first.endpoint;
@@ -201,7 +201,7 @@
   EXPECT_EQ(b.refused.size(), 1u);
 }
 
-TEST(OrdinaryPath, GivesUpAtOnceWhenTheTimeLeftCannotFitWaitAndCall) {
+TEST(OrdinaryPath, GivesUpAtOnceIfWaitAndCallDoNotFitTheTimeLeft) {
   ForwarderHarness b(settings());
   b.submit(1, milliseconds(2000));
   b.advance(milliseconds(100));
@@ -211,7 +211,7 @@
   EXPECT_GE(b.refused[0].retry_after, milliseconds(2400));
 }
 
-TEST(OrdinaryPath, WindowStartsAtOneGrowsByOneAndHoldsThreeQuartersOfTheSlots) {
+TEST(OrdinaryPath, WindowGrowsFromOneByOneUpToThreeQuartersOfTheSlots) {
   ForwarderHarness b(settings());
   for (MessageId id = 1; id <= 30; ++id) b.submit(id);
   EXPECT_EQ(b.sent.size(), 1u);
@@ -234,11 +234,11 @@
   b.outcome(1, Outcome::full);
   for (MessageId id = 2; id <= 3; ++id) b.outcome(id, Outcome::cancelled);
   b.advance(milliseconds(200));
-  EXPECT_EQ(b.sent.size(), 16u) << "three are out, and the window is three";
+  EXPECT_EQ(b.sent.size(), 16u) << "three are in flight, and the window is three";
 }
 
-// --- The six rules at the gate
-TEST(Effects, UnsafeFailsAtOnceAfterADoubtfulOutcome) {
+// --- Rules that every send has to satisfy
+TEST(Effects, UnsafeFailsAtOnceAfterAnUncertainOutcome) {
   ForwarderHarness b(settings(Effect::unsafe));
   b.submit(1);
   b.outcome(1, Outcome::error);
@@ -246,7 +246,7 @@
   EXPECT_TRUE(b.refused.empty());
 }
 
-TEST(Effects, UnsafeIsTriedAgainAfterProofThatItNeverRan) {
+TEST(Effects, UnsafeIsRetriedWhenItCertainlyDidNotRun) {
   for (Outcome o : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
     ForwarderHarness b(settings(Effect::unsafe));
     b.submit(1);
@@ -257,7 +257,7 @@
   }
 }
 
-TEST(Effects, KeyedStaysInItsZoneAndWindowAndFailsAfterIt) {
+TEST(Effects, KeyedStaysInItsZoneAndFailsAfterItsWindow) {
   Settings s = settings(Effect::keyed);
   s.classes[0].key_scope = KeyScope::zone;
   ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}});
@@ -272,10 +272,11 @@
   b.advance(seconds(16));
   EXPECT_EQ(b.send_count(1), 1u);
   EXPECT_EQ(b.failed, std::vector<MessageId>{1});
-  EXPECT_TRUE(b.refused.empty()) << "a refusal would say that a repeat is harmless";
+  EXPECT_TRUE(b.refused.empty()) << "a refusal would mean that a repeat is harmless";
 }
 
-// A repeat is dropped only for so long after the first call: the caller is told until when it may begin.
+// Repeats are dropped only for a while after the first call, so the Send states until when the repeat may
+// begin.
 TEST(Effects, AKeyedRepeatBeginsWithinItsWindow) {
   Settings s = settings(Effect::keyed);
   s.classes[0].aim = seconds(2);
@@ -292,7 +293,7 @@
   EXPECT_GT(repeat.begin_within, Time(0));
 }
 
-TEST(Effects, KeyedWithAllEndpointsMayBeRefusedAfterDoubt) {
+TEST(Effects, KeyedForAllEndpointsMayBeRefusedAfterAnUncertainOutcome) {
   ForwarderHarness b(settings(Effect::keyed));
   b.submit(1, seconds(3));
   b.advance(milliseconds(2950));
@@ -301,7 +302,7 @@
   EXPECT_TRUE(b.failed.empty());
 }
 
-TEST(FinalAnswer, CallStillOutAtTheDeadlineIsAnsweredWithItsTimeout) {
+TEST(FinalAnswer, CallInFlightAtTheDeadlineEndsTheMessageByItsTimeout) {
   ForwarderHarness b(settings(Effect::unsafe));
   b.submit(1, seconds(5));
   EXPECT_LE(b.sent[0].first.timeout, seconds(5));
@@ -311,7 +312,7 @@
   EXPECT_EQ(b.failed, std::vector<MessageId>{1});
 }
 
-TEST(FinalAnswer, DroppedMessageGetsNoMoreAndItsLateOutcomeCounts) {
+TEST(FinalAnswer, DroppedMessageIsNotRetriedAndItsLateOutcomeCounts) {
   Settings s = settings();
   s.slots = 1;
   ForwarderHarness b(s);
@@ -319,7 +320,7 @@
   b.submit(2);
   b.handle(MessageDropped{1});
   b.handle(MessageDropped{99});
-  EXPECT_EQ(b.send_count(2), 0u) << "the slot is still taken";
+  EXPECT_EQ(b.send_count(2), 0u) << "the slot is still in use";
   b.outcome(1, Outcome::full);
   b.advance(seconds(20));
   EXPECT_EQ(b.send_count(1), 1u);
@@ -334,7 +335,7 @@
   EXPECT_EQ(b.refused.size(), 1u);
 }
 
-TEST(Drains, NothingNewFromTheEventOnAndAWholeListDropsWhatItLacks) {
+TEST(DrainingEndpoints, StopNewCallsAtOnceAndAFullListRemovesMissingEndpoints) {
   ForwarderHarness b(settings());
   b.handle(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
   b.submit(1);
@@ -348,7 +349,7 @@
   EXPECT_EQ(b.sent.back().first.endpoint, 2u);
 }
 
-TEST(Order, MessagesOfAKeyTakeTurnsAndRestAfterDoubt) {
+TEST(Order, MessagesOfAKeyAreSequentialWithAPauseAfterAnUncertainOutcome) {
   Settings s = settings();
   s.classes[0].sequential = true;
   s.key_quiet_time = seconds(3);
@@ -361,17 +362,17 @@
   EXPECT_EQ(b.send_count(3), 1u);
   b.advance(milliseconds(100));
   b.handle(MessageDropped{1});
-  EXPECT_EQ(b.send_count(2), 0u) << "an attempt of the first is still out";
+  EXPECT_EQ(b.send_count(2), 0u) << "an attempt of the first is still in flight";
   b.outcome(1, Outcome::timeout, Time(0), true);
-  Time rest = b.now + s.key_quiet_time;
+  Time quiet_until = b.now + s.key_quiet_time;
   b.advance(seconds(2));
   EXPECT_EQ(b.send_count(2), 0u);
   b.advance(seconds(2));
   ASSERT_EQ(b.send_count(2), 1u);
-  EXPECT_GE(b.last_send_time(), rest);
+  EXPECT_GE(b.last_send_time(), quiet_until);
 }
 
-TEST(Lists, AreAskedForWhereChangesDoNotComeByThemselves) {
+TEST(Lists, AreRequestedWhereChangesAreNotPushed) {
   Settings s = settings();
   s.list_on_request = true;
   s.max_list_request_delay = seconds(10);
@@ -382,26 +383,26 @@
   out.clear();
   f.handle(Time(2000), ListFailed{}, out);
   ASSERT_EQ(out.size(), 1u);
-  Time again = std::get<SetTimer>(out[0]).at;
-  EXPECT_LE(again, Time(2000) + s.max_list_request_delay);
+  Time retry_at = std::get<SetTimer>(out[0]).at;
+  EXPECT_LE(retry_at, Time(2000) + s.max_list_request_delay);
   out.clear();
-  f.handle(again, TimerExpired{}, out);
+  f.handle(retry_at, TimerExpired{}, out);
   EXPECT_TRUE(std::holds_alternative<WatchList>(out.at(0)));
 }
 
 // --- Extensions
-// Sends of a busy queue to one destination in any span of overload_time.
+// The largest number of sends within any time of length `span`.
 std::size_t max_sends_in_any_span(const ForwarderHarness& b, std::size_t from, Time span) {
-  std::size_t most = 0;
+  std::size_t max_sends = 0;
   for (std::size_t i = from; i < b.sent.size(); ++i) {
     std::size_t n = 0;
     while (i + n < b.sent.size() && b.sent[i + n].second < b.sent[i].second + span) ++n;
-    most = std::max(most, n);
+    max_sends = std::max(max_sends, n);
   }
-  return most;
+  return max_sends;
 }
 
-TEST(ReturningDestination, IsSentOnlyTrialsInTheOutageAndABudgetWhileCold) {
+TEST(ReturningDestination, GetsOnlyProbeCallsInTheOutageAndABudgetInSlowStart) {
   Settings s = settings();
   ForwarderHarness b(s, {{1, 7, 0, 0, 10, Condition::ready}});
   warm_up(b, 100, 5);
@@ -415,26 +416,27 @@
     before = b.sent.size();
   };
   answer_all(Outcome::connect_failed, milliseconds(1));
-  std::size_t trials_from = b.sent.size();
+  std::size_t probes_from = b.sent.size();
   for (int i = 0; i < 40; ++i) {
     b.advance(milliseconds(250));
     answer_all(Outcome::connect_failed, milliseconds(1));
   }
-  // factor 2 x 0.2 x 10 a second x 3 s = 12 calls at most in any 3 s of the outage; in fact it is a trial at
-  // a time.
-  EXPECT_LE(max_sends_in_any_span(b, trials_from, s.overload_window), 6u);
-  EXPECT_GE(b.sent.size(), trials_from + 2) << "its return must be noticed";
-  std::size_t cold_from = b.sent.size();
+  // factor 2 x 0.2 x 10 a second x 3 s = 12 calls at most in any 3 s of the outage; one probe call at a time
+  // sends fewer.
+  EXPECT_LE(max_sends_in_any_span(b, probes_from, s.overload_window), 6u);
+  EXPECT_GE(b.sent.size(), probes_from + 2) << "its return must be detected";
+  std::size_t slow_start_from = b.sent.size();
   for (int i = 0; i < 12; ++i) {
     b.advance(milliseconds(250));
     answer_all(Outcome::delivered, milliseconds(1));
   }
-  EXPECT_GT(b.sent.size(), cold_from + 3);
-  EXPECT_LE(max_sends_in_any_span(b, cold_from, s.overload_window), 12u + 8u);
+  EXPECT_GT(b.sent.size(), slow_start_from + 3);
+  EXPECT_LE(max_sends_in_any_span(b, slow_start_from, s.overload_window), 12u + 8u);
 }
 
-// A drain that is taken back, as by a health check: the endpoint may be cold, and gets the cold budget.
-TEST(ReturningDestination, AnEndpointBackFromADrainCountsAsCold) {
+// An endpoint whose drain is withdrawn, as by a health check, may have restarted and gets the slow-start
+// budget.
+TEST(ReturningDestination, AnEndpointBackFromADrainBeginsASlowStart) {
   const Settings s = settings();
   for (const bool drained : {false, true}) {
     ForwarderHarness b(s, {{1, 7, 0, 0, 100, Condition::ready}});
@@ -449,7 +451,8 @@
       if (b.send_count(id) > 0) b.outcome(id, Outcome::delivered);
       b.advance(milliseconds(10));
     }
-    // In 3 s a destination of 100 calls a second takes some 300, and a cold one 2 x 0.2 to 0.44 x 100 x 3 s.
+    // In 3 s a destination of 100 calls a second takes some 300; in slow start it takes 2 x 0.2 to 0.44 x 100
+    // x 3 s.
     if (drained) {
       EXPECT_LE(b.sent.size() - before, 300u * 2 * 44 / 100);
     }
@@ -459,7 +462,7 @@
   }
 }
 
-TEST(DestinationMemory, OneStrayErrorDoesNotCloseADestination) {
+TEST(EndpointHealth, OneErrorDoesNotMakeADestinationUnhealthy) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 8);
   b.submit(1);
@@ -468,7 +471,7 @@
   EXPECT_EQ(b.send_count(2) + b.send_count(3) + b.send_count(4) + b.send_count(5) + b.send_count(6), 5u);
 }
 
-TEST(Room, LeastPromisingMessageIsAnsweredNearTheHoldingLimit) {
+TEST(Capacity, MessageWithTheLeastLaterWorthIsGivenUpNearTheLimit) {
   Settings s = settings();
   s.max_held = 20;
   s.can_cancel = false;
@@ -485,7 +488,7 @@
   for (std::size_t i = before; i < b.refused.size(); ++i) EXPECT_NE(b.refused[i].id, 1000u);
 }
 
-TEST(Slots, OverdueCallIsCalledOffWhenAllSlotsAreTakenAndAHealthyDestinationWaits) {
+TEST(Slots, OverdueCallIsCancelledWhenAllSlotsAreInUseAndAHealthyDestinationWaits) {
   Settings s = settings();
   s.slots = 2;
   ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready},
@@ -499,19 +502,19 @@
   b.submit(3, seconds(30), 0, 0, 9);
   EXPECT_EQ(b.send_count(3), 0u);
   b.advance(milliseconds(200));
-  EXPECT_TRUE(b.cancelled.empty()) << "not late yet";
+  EXPECT_TRUE(b.cancelled.empty()) << "not overdue yet";
   b.advance(seconds(3));
   ASSERT_EQ(b.cancelled.size(), 1u) << "one at a time";
   b.outcome(b.cancelled[0], Outcome::cancelled);
   EXPECT_EQ(b.send_count(3), 1u);
 }
 
-TEST(Slots, GoToTheDestinationWithMoreWorthASecondOfSlot) {
+TEST(Slots, GoToTheDestinationWithTheMostWorthPerSlotSecond) {
   Settings s = settings();
   s.slots = 1;
-  ClassSettings dear = s.classes[0];
-  dear.worth = 5;
-  s.classes.push_back(dear);
+  ClassSettings valuable = s.classes[0];
+  valuable.worth = 5;
+  s.classes.push_back(valuable);
   ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   b.submit(1, seconds(30), 0, 0, 7);
   for (MessageId id = 2; id < 30; ++id) b.submit(id, seconds(30), 0, 0, 7);
@@ -521,7 +524,7 @@
   EXPECT_EQ(b.sent.back().first.id, 50u) << "not the first destination in the table";
 }
 
-TEST(DestinationMemory, UnsafeMessageWaitsAfterADoubtfulFailureForItsLastChance) {
+TEST(EndpointHealth, UnsafeMessageIsDelayedAfterAnUncertainFailure) {
   ForwarderHarness b(settings(Effect::unsafe));
   warm_up(b, 100, 4);
   b.submit(1);
@@ -534,8 +537,9 @@
   EXPECT_EQ(b.send_count(2), 1u);
 }
 
-// Guards the answer at once of all that wait where looking through them at every event is saved.
-TEST(Room, AllThatCannotBeSentInTheirTimeAreGivenUpWhenThatIsTold) {
+// Waiting messages are not checked at every event. Those that can no longer be sent in time must still be
+// given up at once when the destination requests a wait.
+TEST(Capacity, MessagesThatCannotBeSentInTimeAreGivenUpOnARequestedWait) {
   ForwarderHarness b(settings());
   b.submit(1);
   for (MessageId id = 2; id < 20; ++id) b.submit(id, id % 2 == 0 ? seconds(5) : seconds(30));
@@ -550,7 +554,7 @@
                      [](const std::string& t) { return t.find("failing") != std::string::npos; });
 }
 
-// Refuses every call of a busy destination for so long; returns how many.
+// Refuses every call of a busy destination during `span`; returns the number of calls.
 std::size_t refuse_calls_for(ForwarderHarness& b, Time span, Time wait) {
   std::size_t from = b.sent.size(), answered = from;
   for (MessageId id = 1; id <= 20; ++id) b.submit(id);
@@ -561,7 +565,7 @@
   return answered - from;
 }
 
-TEST(DestinationMemory, AThirdOfCallsResetIsNoOutage) {
+TEST(EndpointHealth, AThirdOfCallsResetIsNoOutage) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 4);
   for (MessageId id = 1; id <= 15; ++id) {
@@ -574,16 +578,16 @@
   EXPECT_FALSE(logged_failing(b));
 }
 
-TEST(DestinationMemory, BusyLimitIsNotTakenForAShutDestination) {
+TEST(EndpointHealth, ReachedLimitIsNoOutage) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 4);
   EXPECT_GE(refuse_calls_for(b, milliseconds(2500), Time(0)), 5u);
   EXPECT_FALSE(logged_failing(b));
 }
 
-// What the fleet lets no forwarder rest gets what a cold destination stands, and no more.
-TEST(Health, WhatMayNotRestIsBoundByTheColdBudgetAlone) {
-  const auto sends = [](bool capped) {
+// An endpoint that is exempt from backoff gets the slow-start budget and no more.
+TEST(EndpointHealth, EndpointsExemptFromBackoffGetOnlyTheSlowStartBudget) {
+  const auto calls_per_second = [](bool capped) {
     ForwarderHarness b(settings(), {{1, 7, 0, 0, 5, Condition::ready}});
     if (capped) b.handle(BackoffCapped{{1}});
     for (MessageId id = 1; id <= 30; ++id) {
@@ -595,22 +599,23 @@
     }
     for (const auto& [send, at] : b.sent) {
       std::size_t within = 0;
-      for (const auto& [other, then] : b.sent) within += then >= at && then < at + seconds(3) ? 1 : 0;
+      for (const auto& [other, other_at] : b.sent)
+        within += other_at >= at && other_at < at + seconds(3) ? 1 : 0;
       EXPECT_LE(within, 6u);  // 2 x a fifth of 5 calls a second, in 3 s
     }
-    const std::vector<DegradedEndpoint> ailing = b.forwarder.degraded_endpoints();
-    EXPECT_EQ(ailing.size(), 1u);
-    if (!ailing.empty()) {
-      EXPECT_EQ(ailing[0].kind, DegradationKind::failing);
-      EXPECT_GT(ailing[0].failure_share, 0.5);
+    const std::vector<DegradedEndpoint> degraded = b.forwarder.degraded_endpoints();
+    EXPECT_EQ(degraded.size(), 1u);
+    if (!degraded.empty()) {
+      EXPECT_EQ(degraded[0].kind, DegradationKind::failing);
+      EXPECT_GT(degraded[0].failure_share, 0.5);
     }
     const Time span = b.last_send_time() - b.sent.front().second;
     return static_cast<double>(b.sent.size()) / std::chrono::duration<double>(span).count();
   };
-  EXPECT_GT(sends(true), 2 * sends(false));
+  EXPECT_GT(calls_per_second(true), 2 * calls_per_second(false));
 }
 
-TEST(Health, TellsWhatIsColdAndWhatIsLowered) {
+TEST(EndpointHealth, ReportsSlowStartAndReducedLimits) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 5);
   EXPECT_TRUE(b.forwarder.degraded_endpoints().empty());
@@ -627,12 +632,12 @@
   ASSERT_EQ(b.forwarder.degraded_endpoints().size(), 1u);
   EXPECT_EQ(b.forwarder.degraded_endpoints()[0].kind, DegradationKind::reduced_limit);
   b.handle(ListChanged{false, false, {{1, 7, 0, 0, 50, Condition::draining}}});
-  EXPECT_TRUE(b.forwarder.degraded_endpoints().empty());  // the list tells it
+  EXPECT_TRUE(b.forwarder.degraded_endpoints().empty());  // the list already shows it
 }
 
-// An endpoint that was replaced, while the list still names it, refuses connections: it rests alone, and what
-// waits goes to its sibling at once.
-TEST(DestinationMemory, AnEndpointThatIsGoneRestsAlone) {
+// An endpoint that was replaced but is still listed refuses connections. It alone backs off, and waiting
+// messages go to its sibling at once.
+TEST(EndpointHealth, AnEndpointThatIsGoneBacksOffAlone) {
   Settings s = settings();
   s.forwarders = 100;
   ForwarderHarness b(s, {{1, 7, 0, 0, 200, Condition::ready}, {2, 7, 0, 0, 200, Condition::ready}});
@@ -660,21 +665,21 @@
   for (std::size_t i = before; i < b.sent.size(); ++i) EXPECT_NE(b.sent[i].first.endpoint, gone);
 }
 
-TEST(DestinationMemory, LongRunOfRefusalsTellsAShutDestination) {
+TEST(EndpointHealth, LongRunOfRefusalsIsAnOutage) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 4);
   refuse_calls_for(b, seconds(6), Time(0));
   EXPECT_TRUE(logged_failing(b));
 }
 
-TEST(DestinationMemory, WaitLongerThanAnyLimitsSpanTellsAShutDestination) {
+TEST(EndpointHealth, RequestedWaitLongerThanAnyLimitsWindowIsAnOutage) {
   ForwarderHarness b(settings());
   warm_up(b, 100, 4);
   refuse_calls_for(b, milliseconds(200), seconds(8));
   EXPECT_TRUE(logged_failing(b));
 }
 
-TEST(ReturningDestination, SuccessesEarnBudgetAndARefusalTakesItBack) {
+TEST(ReturningDestination, SuccessesEarnBudgetAndARefusalRevokesIt) {
   Settings s = settings();
   s.forwarders = 6;
   s.slow_start_time = seconds(60);
@@ -691,18 +696,18 @@
     }
     return b.sent.size() - from;
   };
-  // An even part of 2 x 0.2 x 12 x 3 is 2.4 calls in 3 s.
+  // An even share of 2 x 0.2 x 12 x 3 is 2.4 calls in 3 s.
   std::size_t first = sends_in(seconds(3), Outcome::delivered);
   std::size_t later = sends_in(seconds(3), Outcome::delivered);
   EXPECT_GE(first, 2u);
   EXPECT_GT(later, 3u);
-  EXPECT_LE(later, 11u) << "two thirds of the whole at most";
+  EXPECT_LE(later, 11u) << "two thirds of the total at most";
   sends_in(seconds(1), Outcome::full);
   sends_in(seconds(3), Outcome::full);
   EXPECT_LE(sends_in(seconds(3), Outcome::full), 3u);
 }
 
-TEST(Slots, SilentDestinationsGetNoMoreOnceTheyHoldHalfAndAHealthyOneIsServed) {
+TEST(Slots, SilentDestinationsHoldAtMostHalfAndAHealthyOneIsServed) {
   Settings s = settings();
   s.can_cancel = false;
   std::vector<EndpointEntry> list;
@@ -718,7 +723,7 @@
   EXPECT_EQ(b.send_count(20), 1u);
 }
 
-TEST(ReturningDestination, WithoutAListedRateGetsOneCallInOverloadTime) {
+TEST(ReturningDestination, WithoutAListedRateGetsOneCallPerOverloadWindow) {
   ForwarderHarness b(settings(), {{1, 7, 0, 0, 0, Condition::ready}});
   warm_up(b, 100, 4);
   std::size_t answered = b.sent.size(), from = answered;
@@ -728,12 +733,12 @@
     for (; answered < b.sent.size(); ++answered)
       b.outcome(b.sent[answered].first.id, Outcome::connect_failed);
   }
-  from += 5;  // those out when it went down
+  from += 5;  // calls in flight when the outage began
   EXPECT_GT(b.sent.size(), from + 1);
   EXPECT_LE(max_sends_in_any_span(b, from, settings().overload_window), 1u);
 }
 
-TEST(Pace, BurstAfterAnIdleTimeIsHalfASecondOfTheRateOrAWholeOneWhereCallsAreShared) {
+TEST(Pace, BurstAfterIdleTimeIsHalfASecondOfTheRateOrAFullOneWithBatches) {
   for (std::uint32_t kind : {0u, 2u}) {
     Settings s = settings();
     s.slots = 40;
@@ -748,7 +753,7 @@
   }
 }
 
-TEST(Pace, ARefusalSlowsADestinationAndDeliveriesBringItBack) {
+TEST(Pace, ARefusalReducesThePaceAndDeliveriesRestoreIt) {
   auto sent_after = [](int refusals) {
     ForwarderHarness b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
     warm_up(b, 1000, 10);
@@ -765,7 +770,7 @@
     return b.sent.size() - from;
   };
   EXPECT_LT(sent_after(4), sent_after(0));
-  EXPECT_GT(sent_after(4), 5u) << "and it goes on";
+  EXPECT_GT(sent_after(4), 5u) << "calls continue";
 }
 
 TEST(Batches, QueuedMessagesShareOneCallAndOneSlot) {
@@ -775,7 +780,7 @@
   for (MessageId id = 1; id <= 5; ++id) b.submit(id);
   EXPECT_EQ(b.sent.size(), 5u);
   b.submit(6);
-  EXPECT_EQ(b.send_count(6), 0u) << "the call is full and the window is one";
+  EXPECT_EQ(b.send_count(6), 0u) << "the batch is full and the window is one";
 }
 
 // --- Many forwarders at one destination
@@ -789,7 +794,7 @@
   return {{1, 7, 0, 0, 3, Condition::ready}, {2, 8, 0, 0, 300, Condition::ready}};
 }
 
-// Answers each call at once with the outcome until the span is over; returns the times of the calls.
+// Answers each call at once with `outcome` until `span` is over; returns the times of the calls.
 std::vector<Time> calls_answered_with(ForwarderHarness& b, Outcome outcome, Time span) {
   std::vector<Time> times;
   std::size_t answered = b.sent.size();
@@ -803,7 +808,7 @@
   return times;
 }
 
-TEST(ManyForwarders, RefusalsSpreadTheTurnsOfAllMessagesOfADestination) {
+TEST(ManyForwarders, RefusalsSpaceOutTheCallsToADestination) {
   for (bool many : {true, false}) {
     Settings s = settings_of_one_among_many();
     if (!many) s.forwarders = 1;
@@ -822,8 +827,9 @@
   }
 }
 
-TEST(ManyForwarders, TrialsOfAllTogetherKeepTheColdBudget) {
-  // 250 forwarders that have each seen the destination fail: 2 x 0.2 x 3 calls a second may reach it cold.
+TEST(ManyForwarders, ProbeCallsOfAllStayWithinTheSlowStartBudget) {
+  // 250 forwarders that have each seen the destination fail: 2 x 0.2 x 3 calls a second may reach it in slow
+  // start.
   std::size_t calls = 0;
   for (std::uint64_t seed = 1; seed <= 250; ++seed) {
     Settings s = settings_of_one_among_many();
@@ -835,11 +841,11 @@
     b.submit(2);
     calls += calls_answered_with(b, Outcome::connect_failed, seconds(15)).size();
   }
-  EXPECT_GT(calls, 250u / 4) << "the return must be noticed";
+  EXPECT_GT(calls, 250u / 4) << "the return must be detected";
   EXPECT_LT(calls, 250u * 3);
 }
 
-TEST(ManyForwarders, AFirstFailureWithoutFreshSuccessIsAnOutage) {
+TEST(ManyForwarders, AFirstFailureWithoutARecentSuccessIsAnOutage) {
   ForwarderHarness b(settings_of_one_among_many(), small_destination());
   b.submit(1);
   b.outcome(1, Outcome::error);
@@ -847,8 +853,8 @@
   EXPECT_EQ(b.send_count(1), 1u);
 }
 
-TEST(ManyForwarders, ARefusalBesideAReportThatLeavesRoomIsNoOutage) {
-  for (double limit : {3.0, 0.0}) {  // an old report, or a destination without a limit
+TEST(ManyForwarders, ARefusalWithAllowanceLeftIsNoOutage) {
+  for (double limit : {3.0, 0.0}) {  // an outdated report, or a destination without a limit
     Settings s = settings_of_one_among_many();
     s.reports_allowance = true;
     ForwarderHarness b(s, small_destination());
@@ -856,7 +862,7 @@
     b.handle(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, LoadReport{true, 0.9, limit}});
     EXPECT_TRUE(b.logged.empty());
     b.advance(seconds(8));
-    EXPECT_EQ(b.send_count(1), 2u) << "tried again by the linear wait and its turn";
+    EXPECT_EQ(b.send_count(1), 2u) << "retried after the linear backoff and its turn";
   }
 }
 
@@ -881,7 +887,7 @@
 }
 std::vector<EndpointEntry> unlisted_destination() { return {{1, 7, 0, 0, 0, Condition::ready}}; }
 
-TEST(NoListedRate, TheReportedLimitPacesCallsAndAnswersWithoutOneDoNot) {
+TEST(NoListedRate, TheReportedLimitPacesCallsAndItsAbsenceDoesNot) {
   for (double limit : {2.0, 0.0}) {
     Settings s = settings();
     s.reports_allowance = true;
@@ -904,9 +910,9 @@
   }
 }
 
-TEST(NoListedRate, TrialsOfAllTogetherFollowTheTimeSinceTheFirstFailure) {
-  // 250 forwarders with one message each at a destination that took 25 a second of them before it failed:
-  // cold it may get 2 x 0.2 x 25 a second.
+TEST(NoListedRate, ProbeCallsOfAllDependOnTheTimeSinceTheFirstFailure) {
+  // 250 forwarders with one message each at a destination that took 25 a second from them before it failed:
+  // in slow start it may get 2 x 0.2 x 25 a second.
   std::size_t calls = 0;
   for (std::uint64_t seed = 1; seed <= 250; ++seed) {
     Settings s = unlisted_rate_settings();
@@ -916,11 +922,11 @@
     b.outcome(1, Outcome::connect_failed);
     calls += calls_answered_with(b, Outcome::connect_failed, seconds(10)).size();
   }
-  EXPECT_GT(calls, 25u) << "the return must be noticed";
+  EXPECT_GT(calls, 25u) << "the return must be detected";
   EXPECT_LT(calls, 250u);
 }
 
-TEST(NoListedRate, AForwarderWithMoreWaitingTriesMoreOften) {
+TEST(NoListedRate, AForwarderWithMoreWaitingMessagesProbesMoreOften) {
   Time first[2];
   for (int many : {0, 1}) {
     ForwarderHarness b(unlisted_rate_settings(), unlisted_destination());
@@ -935,8 +941,9 @@
   EXPECT_LT(first[1] * 4, first[0]);
 }
 
-TEST(ManyForwarders, ARefusedClumpDoesNotComeBackAsOneWave) {
-  // 200 forwarders refused in one moment, a told wait of half a second or none, a limit known or not.
+TEST(ManyForwarders, ARefusedBurstIsNotRetriedAtOnce) {
+  // 200 forwarders refused at the same time, with a requested wait of half a second or none, a known limit or
+  // none.
   for (Time wait : {Time(0), Time(milliseconds(500))}) {
     for (double rate : {0.0, 3.0}) {
       std::size_t soon = 0, later = 0;
@@ -958,8 +965,8 @@
   }
 }
 
-TEST(NoListedRate, OneMessageEarlyInALifeIsNoHighRate) {
-  // 200 forwarders that have just started, each refused its first message: no wave of tries again.
+TEST(NoListedRate, OneMessageSoonAfterTheStartIsNoHighRate) {
+  // 200 forwarders that have just started, each refused its first message, must not retry all at once.
   std::size_t soon = 0, later = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Settings s = unlisted_rate_settings();
@@ -976,8 +983,9 @@
   EXPECT_GT(later, 150u);
 }
 
-TEST(NoListedRate, ARefusedForwarderWithMuchTrafficTakesTurnsToo) {
-  // One of 89, with a message every second: more than half a call a second, once the pace's threshold.
+TEST(NoListedRate, ARefusedForwarderWithMuchTrafficTakesTurns) {
+  // One of 89 with a message every second: its own rate above half a call a second must not exempt it from
+  // taking turns.
   Settings s = unlisted_rate_settings();
   s.forwarders = 89;
   ForwarderHarness b(s, unlisted_destination());
@@ -990,7 +998,7 @@
   EXPECT_LT(b.sent.size(), 30u);
 }
 
-TEST(ManyForwarders, ResetsDoNotSlowThePaceAndRefusalsDo) {
+TEST(ManyForwarders, ResetsDoNotReduceThePaceAndRefusalsDo) {
   std::size_t calls[2];
   for (int refused : {0, 1}) {
     Settings s = settings();
@@ -1001,19 +1009,19 @@
       b.submit(id);
       b.advance(milliseconds(100));
       for (; answered < b.sent.size(); ++answered) {
-        const bool bad = answered % 5 == 4;
-        b.outcome(b.sent[answered].first.id, !bad      ? Outcome::delivered
-                                             : refused ? Outcome::full
-                                                       : Outcome::reset);
+        const bool unsuccessful = answered % 5 == 4;
+        b.outcome(b.sent[answered].first.id, !unsuccessful ? Outcome::delivered
+                                             : refused     ? Outcome::full
+                                                           : Outcome::reset);
       }
     }
     calls[refused] = b.sent.size();
   }
-  EXPECT_GT(calls[0], 400u) << "each lost answer is asked for again";
+  EXPECT_GT(calls[0], 400u) << "each lost answer is retried";
   EXPECT_LT(calls[1], calls[0] * 3 / 4);
 }
 
-TEST(Slots, ADestinationFarSlowerThanOthersHoldsHalfOfThem) {
+TEST(Slots, AMuchSlowerDestinationHoldsAtMostHalf) {
   Settings s = settings();
   ForwarderHarness b(s, {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   warm_up(b, 1000, 40);
@@ -1023,12 +1031,12 @@
     b.outcome(id, Outcome::delivered);
   }
   for (MessageId id = 10; id <= 20; ++id) b.submit(id, seconds(30), 0, 0, 8);
-  std::size_t out = 0;
-  for (MessageId id = 10; id <= 20; ++id) out += b.send_count(id);
-  EXPECT_EQ(out, 4u);
+  std::size_t in_flight = 0;
+  for (MessageId id = 10; id <= 20; ++id) in_flight += b.send_count(id);
+  EXPECT_EQ(in_flight, 4u);
 }
 
-TEST(Endpoints, EqualOnesAreChosenInAnotherOrderByEachForwarder) {
+TEST(Endpoints, EqualOnesAreChosenInADifferentOrderByEachForwarder) {
   std::size_t lowest = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Settings s = unlisted_rate_settings();
@@ -1044,7 +1052,7 @@
 }
 
 // --- Connections
-TEST(Connections, AFailedConnectEndsIdleOnesOfItsKindWhereTheyAreSeldomUsedAgain) {
+TEST(Connections, AFailedConnectClosesRarelyReusedIdleOnesOfItsKind) {
   for (std::uint32_t kind : {0u, 1u}) {
     std::vector<EndpointEntry> list;
     for (EndpointId id = 1; id <= 200; ++id)
@@ -1065,7 +1073,7 @@
   }
 }
 
-TEST(Connections, AreKeptAfterAFailedConnectWhereTheyAreUsedAgain) {
+TEST(Connections, AreKeptAfterAFailedConnectWhereTheyAreReused) {
   ForwarderHarness b(settings(), {{1, 7, 0, 0, 50, Condition::ready}, {2, 8, 0, 0, 50, Condition::ready}});
   warm_up(b, 1000, 20);
   b.submit(1, seconds(30), 0, 0, 8);
@@ -1073,8 +1081,8 @@
   EXPECT_TRUE(b.closed_idle.empty());
 }
 
-TEST(Module, EqualEventsGiveEqualActions) {
-  auto play = [] {
+TEST(Determinism, EqualEventsGiveEqualActions) {
+  auto run = [] {
     ForwarderHarness b(settings(), {{1, 7, 0, 0, 9, Condition::ready}, {2, 7, 0, 0, 9, Condition::ready}});
     std::size_t answered = 0;
     for (MessageId id = 1; id <= 60; ++id) {
@@ -1089,23 +1097,23 @@
     for (const auto& [s, at] : b.sent) trace.emplace_back(s.id, s.endpoint);
     return trace;
   };
-  auto first = play();
+  auto first = run();
   EXPECT_GT(first.size(), 20u);
-  EXPECT_EQ(first, play());
+  EXPECT_EQ(first, run());
 }
 
-// --- What the caller's connections showed
+// --- Connection state reported by the caller
 void lose_connection(ForwarderHarness& b, MessageId id, Outcome o, Time idle) {
   b.handle(AttemptEnded{id, 0, 1, o, true, Time(0), false, {}, true, idle});
 }
 
-TEST(BrokenConnections, KeptOnesAreNoOutageAndOneNewOneIsNone) {
+TEST(BrokenConnections, NeitherIdleOnesNorASingleNewOneAreAnOutage) {
   for (const Outcome o : {Outcome::reset, Outcome::connect_failed}) {
     ForwarderHarness b(settings());
     warm_up(b, 1, 8);
     for (MessageId id = 100; id < 112; ++id) {
       b.submit(id);
-      ASSERT_EQ(b.send_count(id), 1u);  // at once: no rest, no window cut to nothing
+      ASSERT_EQ(b.send_count(id), 1u);  // at once: no backoff, and the window is not reduced
       lose_connection(b, id, o, milliseconds(20));
     }
     b.advance(seconds(30));
@@ -1115,7 +1123,7 @@
     b.submit(201);
     EXPECT_EQ(b.send_count(201), 1u);
   }
-  // New ones that break one after the other are an outage all the same.
+  // New connections that break one after the other still count as an outage.
   ForwarderHarness b(settings());
   warm_up(b, 1, 8);
   for (MessageId id = 100; id < 110; ++id) {
@@ -1125,7 +1133,7 @@
   EXPECT_FALSE(b.logged.empty());
 }
 
-TEST(BrokenConnections, ThoseIdleForLongAreNotUsedWhereTheyLoseCalls) {
+TEST(BrokenConnections, LongIdleOnesAreNotUsedWhereTheyLoseCalls) {
   ForwarderHarness b(settings());
   MessageId id = 1;
   const auto call = [&](Time idle, bool lost) {
@@ -1144,13 +1152,13 @@
   b.submit(++id);
   EXPECT_LE(b.sent.back().first.max_idle, milliseconds(450));
   EXPECT_GT(b.sent.back().first.max_idle, milliseconds(100));
-  b.advance(seconds(60));  // and again after a while
+  b.advance(seconds(60));  // used again after a while
   b.submit(++id);
   EXPECT_EQ(b.sent.back().first.max_idle, Time::max());
 }
 
-// Guards against calls that are never answered, at endpoints that answer others, holding every slot for
-// seconds each: once that is seen, a call holds a slot that others want hardly longer than answers take.
+// Calls that are never answered, at endpoints that answer others, could hold every slot for seconds each.
+// Once that is observed, a call may hold a slot that others need hardly longer than answers take.
 TEST(Slots, AreFreedSoonWhereOverdueCallsAreNeverAnswered) {
   Settings s = settings(Effect::unsafe);
   s.slots = 4;
@@ -1169,8 +1177,8 @@
   };
   std::vector<Time> held;
   for (int round = 0; round < 15; ++round) {
-    // Calls that are never answered hold all slots: one destination answers beside them, the other has
-    // stalled.
+    // Calls that are never answered hold all slots: one destination answers other calls meanwhile, the other
+    // has stalled.
     std::set<MessageId> lost = {send(7), send(7)};
     answer(send(7));
     lost.insert(send(8));
@@ -1191,10 +1199,10 @@
   EXPECT_LT(held.back(), milliseconds(1200));
 }
 
-// An endpoint that takes only so many connections refuses a new one, and closes it, while others work. That
-// is no limit on calls: what waits goes out as calls end, none beyond them, and one more is tried only after
-// a while.
-TEST(ConnectionLimit, IsNoLimitOnCalls) {
+// An endpoint at its connection limit refuses and closes a new connection while others work. That is no limit
+// on calls: waiting messages are sent as calls end, none beyond them, and one more is tried only after a
+// while.
+TEST(ConnectionLimit, IsNotTakenForALimitOnCalls) {
   Settings s = settings();
   s.slots = 16;
   ForwarderHarness b(s);
@@ -1204,21 +1212,21 @@
   ASSERT_EQ(b.sent.size(), before + 7) << "the window";
   b.handle(AttemptEnded{106, 0, 1, Outcome::full, false, Time(0), false, {}, false, Time(0), true});
   b.advance(milliseconds(100));
-  EXPECT_EQ(b.sent.size(), before + 7) << "six work, and there is room for no more";
+  EXPECT_EQ(b.sent.size(), before + 7) << "six are in flight, and there is no room for more";
   for (MessageId id = 100; id < 103; ++id) {
     b.outcome(id, Outcome::delivered);
     b.advance(milliseconds(10));
   }
-  EXPECT_EQ(b.sent.size(), before + 10) << "each that ends makes way for one";
+  EXPECT_EQ(b.sent.size(), before + 10) << "each that ends allows one more";
   b.advance(milliseconds(600));
   EXPECT_EQ(b.sent.size(), before + 10);
   b.advance(milliseconds(200));
   EXPECT_EQ(b.sent.size(), before + 11) << "one more is tried";
-  EXPECT_EQ(b.send_count(106), 2u) << "the refused one does not wait as after a refusal";
+  EXPECT_EQ(b.send_count(106), 2u) << "the refused one does not back off";
 }
 
-// Calls that go out while every tenth is refused, each on a connection that had stood idle for so long
-// before. It stays open behind the answer, or closes as the call asked.
+// Number of calls sent while every tenth is refused, each on a connection with the given idle time. The
+// connection stays open after the answer, or closes as the call asked.
 std::size_t calls_while_some_are_refused(Time idle, bool close_requested = false) {
   Settings s = settings();
   s.slots = 16;
@@ -1241,24 +1249,24 @@
   return b.sent.size();
 }
 
-// A refused call whose connection stays is one of the limit on calls, whether the connection is new or kept.
-TEST(ConnectionLimit, HasNoPartInARefusalWhoseConnectionStays) {
+// A refused call whose connection stays open was refused by the limit on calls, on new and reused connections
+// alike.
+TEST(ConnectionLimit, IsNotTheCauseOfARefusalWhoseConnectionStaysOpen) {
   const std::size_t on_kept_ones = calls_while_some_are_refused(milliseconds(1));
   EXPECT_GT(on_kept_ones, 200u);
   EXPECT_EQ(calls_while_some_are_refused(Time(0)), on_kept_ones);
 }
 
-// To a host that does not say that it closes, each call goes on a connection of its own and asks for the
-// close.
-TEST(ConnectionLimit, HasNoPartInARefusalWhoseCloseWasAskedFor) {
+// To a host that does not announce its closes, each call uses a connection of its own and asks for the close.
+TEST(ConnectionLimit, IsNotTheCauseOfARefusalWhoseCloseWasRequested) {
   const std::size_t on_kept_ones = calls_while_some_are_refused(milliseconds(1));
   EXPECT_EQ(calls_while_some_are_refused(Time(0), true), on_kept_ones);
 }
 
-// One of many, each with a few calls: where a connection found no place, others' idle ones hold them. Its own
-// makes way after each call from then on, at all endpoints of that kind; neither pace, window nor health bear
-// it.
-TEST(ConnectionLimit, NoIdleOneIsKeptOfAKindThatHadNoPlace) {
+// One of many forwarders with a few calls each: when a connection is refused for lack of room, idle ones of
+// other forwarders occupy it. This forwarder then closes its connections after each call at all endpoints of
+// that kind. Pace, window and health do not change.
+TEST(ConnectionLimit, NoIdleConnectionIsKeptAfterOneOfItsKindWasRefused) {
   Settings s = settings();
   s.forwarders = 100;
   s.slots = 6;
@@ -1272,7 +1280,7 @@
   EXPECT_EQ(b.closed_idle, (std::vector<EndpointId>{2})) << "the other of its kind";
   EXPECT_TRUE(b.logged.empty());
   b.advance(milliseconds(900));
-  EXPECT_EQ(b.send_count(100), 2u) << "tried again soon";
+  EXPECT_EQ(b.send_count(100), 2u) << "retried soon";
   b.outcome(100, Outcome::delivered);
   EXPECT_EQ(b.closed_idle, (std::vector<EndpointId>{2, 1})) << "not kept";
   b.submit(101, seconds(30), 0, 0, 9);
@@ -1280,9 +1288,10 @@
   EXPECT_EQ(b.closed_idle.size(), 2u) << "another kind";
 }
 
-// Fifty who found no place in one moment come back spread over time, or they would find none again.
-TEST(ConnectionLimit, ThoseWhoFoundNoPlaceDoNotComeBackTogether) {
-  std::map<Time, int> tries;
+// Fifty forwarders refused for lack of room at the same time must not retry together, or they would be
+// refused again.
+TEST(ConnectionLimit, RefusedForwardersDoNotRetryTogether) {
+  std::map<Time, int> retries;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Settings s = settings();
     s.forwarders = 100;
@@ -1292,14 +1301,14 @@
     b.handle(AttemptEnded{1, 0, 1, Outcome::full, false, Time(0), false, {}, true, Time(0)});
     b.advance(seconds(3));
     ASSERT_EQ(b.send_count(1), 2u);
-    ++tries[b.last_send_time() / 100'000 * 100'000];
+    ++retries[b.last_send_time() / 100'000 * 100'000];
   }
-  for (const auto& [at, count] : tries) EXPECT_LE(count, 15) << at.count();
+  for (const auto& [at, count] : retries) EXPECT_LE(count, 15) << at.count();
 }
 
-// A message that is over before its call, or a call held back, uses nothing of the destination's limit up:
-// the next one goes at once, where the pace would have had it wait.
-TEST(Pace, ACallThatWasNotSentGivesItsPartBack) {
+// A message that ended before its call, or a call held back, uses none of the destination's limit: the next
+// one is sent at once, where the pace would have made it wait.
+TEST(Pace, ACallThatWasNotSentReturnsItsToken) {
   ForwarderHarness b(settings(), {{1, 7, 0, 0, 4, Condition::ready}});
   warm_up(b, 1, 6, 7);
   for (MessageId id = 100; id < 106; ++id) b.submit(id);
@@ -1313,9 +1322,9 @@
   EXPECT_EQ(b.sent.size(), burst + 1);
 }
 
-// Calls that are never answered hold the few connections that an endpoint takes, while slots are free. One
-// that it closes at once tells so.
-TEST(ConnectionLimit, OverdueCallsMakeWayWhileMessagesWait) {
+// Calls that are never answered hold the few connections that an endpoint accepts while slots are free. A
+// connection that the endpoint closes at once shows the limit.
+TEST(ConnectionLimit, OverdueCallsAreCancelledWhileMessagesWait) {
   Settings s = settings();
   s.slots = 100;
   ForwarderHarness b(s);
@@ -1327,11 +1336,9 @@
   EXPECT_FALSE(b.cancelled.empty());
 }
 
-// Guards the memory of a long life: endpoints that are gone and keys that are over are forgotten.
-// A forwarder that is loaded goes on exactly as the saved one does: the same events bring the same actions,
-// through refusals with and without waits, failures, drains, restarts of the timer and messages in every
-// state.
-TEST(Memory, ALoadedForwarderActsAsTheSavedOne) {
+// A restored forwarder continues exactly as the saved one does: the same events give the same actions,
+// through refusals with and without waits, failures, drains, timer restarts and messages in every state.
+TEST(Snapshot, ARestoredForwarderActsAsTheSavedOne) {
   std::size_t compared = 0;
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
@@ -1341,22 +1348,22 @@
     s.classes.push_back(s.classes[0]);
     s.classes[1].effect = Effect::unsafe;
     s.classes[0].sequential = seed % 2 == 0;
-    ForwarderHarness one(s, {{1, 7, 0, 0, 40, Condition::ready},
-                             {2, 7, 0, 0, 40, Condition::ready},
-                             {3, 8, 0, 2, 0, Condition::ready}});
-    std::optional<ForwarderHarness> other;
-    const auto both = [&](const auto& what) {
-      what(one);
-      if (other) what(*other);
+    ForwarderHarness original(s, {{1, 7, 0, 0, 40, Condition::ready},
+                                  {2, 7, 0, 0, 40, Condition::ready},
+                                  {3, 8, 0, 2, 0, Condition::ready}});
+    std::optional<ForwarderHarness> restored;
+    const auto both = [&](const auto& action) {
+      action(original);
+      if (restored) action(*restored);
     };
-    std::vector<std::pair<MessageId, std::uint32_t>> out;  // calls, by message and attempt
+    std::vector<std::pair<MessageId, std::uint32_t>> in_flight;  // calls, by message and attempt
     std::map<MessageId, std::uint32_t> attempts;
-    std::map<std::pair<MessageId, std::uint32_t>, EndpointId> at;
-    std::size_t noted = 0;
+    std::map<std::pair<MessageId, std::uint32_t>, EndpointId> endpoint_of;
+    std::size_t recorded = 0;
     for (unsigned step = 0; step < 400; ++step) {
-      if (step >= 40 && step % 5 == 0) {  // loaded anew, again and again
-        other = ForwarderHarness(one);
-        other->forwarder = Forwarder::load(s, one.forwarder.save());
+      if (step >= 40 && step % 5 == 0) {  // restored again at every fifth step
+        restored = ForwarderHarness(original);
+        restored->forwarder = Forwarder::load(s, original.forwarder.save());
       }
       const unsigned kind = random() % 10;
       if (kind < 4) {
@@ -1365,16 +1372,16 @@
         const DestinationId destination = 7 + random() % 2;
         const std::uint64_t key = random() % 5;
         both([&](ForwarderHarness& b) { b.submit(id, seconds(20), message_class, key, destination); });
-      } else if (kind < 8 && !out.empty()) {
-        const std::size_t i = random() % out.size();
-        const auto [id, attempt] = out[i];
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
+      } else if (kind < 8 && !in_flight.empty()) {
+        const std::size_t i = random() % in_flight.size();
+        const auto [id, attempt] = in_flight[i];
+        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
         const Outcome outcomes[] = {Outcome::delivered, Outcome::delivered, Outcome::full,
                                     Outcome::timeout,   Outcome::reset,     Outcome::connect_failed};
         const Outcome outcome = outcomes[random() % 6];
         const Time wait =
             outcome == Outcome::full && random() % 2 == 0 ? milliseconds(random() % 4000) : Time(0);
-        const EndpointId endpoint = at.at({id, attempt});
+        const EndpointId endpoint = endpoint_of.at({id, attempt});
         both([&, id = id, attempt = attempt](ForwarderHarness& b) {
           b.handle(AttemptEnded{id,
                                 attempt,
@@ -1399,32 +1406,32 @@
         const Time span = milliseconds(random() % 800);
         both([&](ForwarderHarness& b) { b.advance(span); });
       }
-      for (; noted < one.sent.size(); ++noted) {
-        const Send& send = one.sent[noted].first;
-        out.emplace_back(send.id, attempts[send.id]++);
-        at[out.back()] = send.endpoint;
+      for (; recorded < original.sent.size(); ++recorded) {
+        const Send& send = original.sent[recorded].first;
+        in_flight.emplace_back(send.id, attempts[send.id]++);
+        endpoint_of[in_flight.back()] = send.endpoint;
       }
-      if (!other) continue;
+      if (!restored) continue;
       ++compared;
-      ASSERT_EQ(one.sent.size(), other->sent.size()) << seed << " " << step;
-      for (std::size_t i = 0; i < one.sent.size(); ++i) {
-        ASSERT_EQ(one.sent[i].first.id, other->sent[i].first.id);
-        ASSERT_EQ(one.sent[i].first.endpoint, other->sent[i].first.endpoint);
-        ASSERT_EQ(one.sent[i].first.timeout, other->sent[i].first.timeout);
-        ASSERT_EQ(one.sent[i].second, other->sent[i].second);
+      ASSERT_EQ(original.sent.size(), restored->sent.size()) << seed << " " << step;
+      for (std::size_t i = 0; i < original.sent.size(); ++i) {
+        ASSERT_EQ(original.sent[i].first.id, restored->sent[i].first.id);
+        ASSERT_EQ(original.sent[i].first.endpoint, restored->sent[i].first.endpoint);
+        ASSERT_EQ(original.sent[i].first.timeout, restored->sent[i].first.timeout);
+        ASSERT_EQ(original.sent[i].second, restored->sent[i].second);
       }
-      ASSERT_EQ(one.timers, other->timers) << seed << " " << step;
-      ASSERT_EQ(one.failed, other->failed);
-      ASSERT_EQ(one.cancelled, other->cancelled);
-      ASSERT_EQ(one.closed_idle, other->closed_idle);
-      ASSERT_EQ(one.refused.size(), other->refused.size());
-      ASSERT_EQ(one.forwarder.record_count(), other->forwarder.record_count());
+      ASSERT_EQ(original.timers, restored->timers) << seed << " " << step;
+      ASSERT_EQ(original.failed, restored->failed);
+      ASSERT_EQ(original.cancelled, restored->cancelled);
+      ASSERT_EQ(original.closed_idle, restored->closed_idle);
+      ASSERT_EQ(original.refused.size(), restored->refused.size());
+      ASSERT_EQ(original.forwarder.record_count(), restored->forwarder.record_count());
     }
   }
   EXPECT_EQ(compared, 60u * 360u);
 }
 
-TEST(Memory, RefusesWhatItCannotRead) {
+TEST(Snapshot, RejectsBytesThatItCannotRead) {
   const Settings s = settings();
   ForwarderHarness b(s);
   b.submit(1);
@@ -1432,9 +1439,9 @@
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     EXPECT_THROW(Forwarder::load(s, std::string_view(bytes).substr(0, size)), SnapshotError) << size;
   }
-  std::string other = bytes;
-  other[0] = static_cast<char>(other[0] + 1);  // its version
-  EXPECT_THROW(Forwarder::load(s, other), SnapshotError);
+  std::string other_version = bytes;
+  other_version[0] = static_cast<char>(other_version[0] + 1);  // the version
+  EXPECT_THROW(Forwarder::load(s, other_version), SnapshotError);
   ForwarderHarness c(s);
   c.handle(MessageArrived{1, 0, 0, 7, 0, seconds(9)});
   Settings fewer = s;
@@ -1442,7 +1449,8 @@
   EXPECT_THROW(Forwarder::load(fewer, c.forwarder.save()), SnapshotError);
 }
 
-TEST(LongLife, ForgetsWhatIsOver) {
+// Records of removed endpoints and finished keys must not accumulate.
+TEST(LongRunningProcess, RemovesStaleRecords) {
   Settings s = settings();
   s.classes[0].sequential = true;
   ForwarderHarness b(s);
@@ -1451,8 +1459,8 @@
     b.handle(ListChanged{id % 2 == 0, false, {{id, 7, 0, 0, 50, Condition::ready}}});
     if (id % 2 == 1) b.handle(ListChanged{false, false, {{id - 1, 7, 0, 0, 50, Condition::gone}}});
     b.advance(milliseconds(100));
-    const std::vector<std::pair<Send, Time>> out = std::exchange(b.sent, {});
-    for (const auto& [sent, at] : out) {
+    const std::vector<std::pair<Send, Time>> sent_calls = std::exchange(b.sent, {});
+    for (const auto& [sent, at] : sent_calls) {
       b.handle(AttemptEnded{
           sent.id, 0, sent.endpoint, Outcome::delivered, true, Time(0), false, {}, false, Time(-1)});
     }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,5 +1,6 @@
-// Many forwarders and one destination that returns cold from an outage, without a bench: what all of them
-// send it together stays within what it stands. Fixed seeds; time goes by in ticks.
+// Many forwarders and one destination that returns from an outage with little capacity, without the
+// simulator: all their calls together must stay within the slow-start budget. Seeds are fixed; time advances
+// in ticks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,24 +30,24 @@
 
 struct Scenario {
   std::uint32_t forwarders = 30;
-  double rate = 30;      // calls a second that the destination takes when warm
+  double rate = 30;      // calls a second that the destination takes at full capacity
   double traffic = 0.9;  // messages a second, as a share of that
   bool uneven = false;   // some forwarders get several times the mean
   Time outage = seconds(10);
-  bool silent = false;  // calls in the outage are lost, not refused
+  bool silent = false;  // calls during the outage are lost, not refused
   unsigned seed = 1;
 };
 
-// The destination's side: down, then cold, then warm.
+// Model of the destination: in an outage, then in slow start, then at full capacity.
 class RecoveringDestination {
  public:
-  RecoveringDestination(const Scenario& world, Time down)
-      : world_(world), down_(down), up_(down + world.outage) {}
+  RecoveringDestination(const Scenario& scenario, Time down)
+      : scenario_(scenario), down_(down), up_(down + scenario.outage) {}
 
   bool is_down(Time t) const { return t >= down_ && t < up_; }
   double capacity(Time t) const {
-    if (t < up_) return world_.rate;
-    return world_.rate *
+    if (t < up_) return scenario_.rate;
+    return scenario_.rate *
            (kSlowStartMinShare +
             (1 - kSlowStartMinShare) * std::min(1.0, in_seconds(t - up_) / in_seconds(kSlowStartTime)));
   }
@@ -58,52 +59,52 @@
     tokens_ -= 1;
     return true;
   }
-  // How far the calls of the last window go beyond what it stands; at most 0 where they do not.
-  double excess(Time t, bool told) {
-    std::deque<Time>& calls = told ? informed_calls_ : all_calls_;
+  // By how much the calls of the last window exceed what the destination can take; at most 0 if they do not.
+  double excess(Time t, bool informed) {
+    std::deque<Time>& calls = informed ? informed_calls_ : all_calls_;
     while (!calls.empty() && calls.front() + kOverloadWindow <= t) calls.pop_front();
     if (t < up_ || t - up_ > kSlowStartTime) return -1e9;
     const double budget = kOverloadFactor * capacity(t) * in_seconds(kOverloadWindow);
     return static_cast<double>(calls.size()) - (budget + 2 * std::sqrt(budget) + 2);
   }
-  void count_call(Time t, bool told) {
+  void count_call(Time t, bool informed) {
     if (t < up_) return;
     all_calls_.push_back(t);
-    if (told) informed_calls_.push_back(t);
+    if (informed) informed_calls_.push_back(t);
   }
   Time up() const { return up_; }
 
  private:
-  const Scenario world_;
+  const Scenario scenario_;
   const Time down_, up_;
   double tokens_ = 1;
-  std::deque<Time> all_calls_, informed_calls_;  // since the return, of the last window
+  std::deque<Time> all_calls_, informed_calls_;  // since the return, within the last window
 };
 
 struct Result {
-  double max_excess_informed = -1e9;  // of forwarders that had seen the outage
+  double max_excess_informed = -1e9;  // calls of forwarders that had seen the outage
   double max_excess_all = -1e9;
-  double delivered_share = 0;  // share of the messages that came while it was cold
+  double delivered_share = 0;  // share of the messages that arrived after the return
 };
 
 class Fleet {
  public:
-  explicit Fleet(const Scenario& world)
-      : world_(world), random_(world.seed + 1000), destination_(world, seconds(10)) {
+  explicit Fleet(const Scenario& scenario)
+      : scenario_(scenario), random_(scenario.seed + 1000), destination_(scenario, seconds(10)) {
     std::vector<double> weights;
-    for (std::uint32_t i = 0; i < world.forwarders; ++i) {
+    for (std::uint32_t i = 0; i < scenario.forwarders; ++i) {
       members_.emplace_back(settings(i));
-      weights.push_back(world.uneven ? 1 / std::sqrt(i + 1.0) : 1.0);
+      weights.push_back(scenario.uneven ? 1 / std::sqrt(i + 1.0) : 1.0);
       Member& member = members_.back();
       member.forwarder.start(Time(0), member.actions);
-      handle(member, ListChanged{true, false, {{1, kDestination, 0, 0, world.rate, Condition::ready}}});
+      handle(member, ListChanged{true, false, {{1, kDestination, 0, 0, scenario.rate, Condition::ready}}});
     }
     pick_ = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
   }
 
   Result run() {
     Result result;
-    std::poisson_distribution<> arrivals(world_.rate * world_.traffic * in_seconds(kTick));
+    std::poisson_distribution<> arrivals(scenario_.rate * scenario_.traffic * in_seconds(kTick));
     const Time end = destination_.up() + seconds(14);
     for (now_ = Time(0); now_ < end; now_ += kTick) {
       destination_.tick(now_);
@@ -136,7 +137,7 @@
   };
 
   Settings settings(std::uint32_t index) const {
-    Settings s = test::fleet_settings(world_.seed, index, world_.forwarders);
+    Settings s = test::fleet_settings(scenario_.seed, index, scenario_.forwarders);
     s.slots = 8;
     s.slow_start_time = kSlowStartTime;
     s.slow_start_min_share = kSlowStartMinShare;
@@ -177,21 +178,21 @@
     ended.outcome = Outcome::delivered;
     ended.finished = true;
     ended.connection_idle = milliseconds(1);
-    Time takes = milliseconds(80);
+    Time duration = milliseconds(80);
     destination_.count_call(now_, member.saw_outage);
     if (destination_.is_down(now_)) {
-      ended.outcome = world_.silent ? Outcome::timeout : Outcome::connect_failed;
+      ended.outcome = scenario_.silent ? Outcome::timeout : Outcome::connect_failed;
       ended.finished = false;
       ended.connection_idle = Time(0);
-      takes = world_.silent ? send.timeout : Time(milliseconds(20));
+      duration = scenario_.silent ? send.timeout : Time(milliseconds(20));
     } else if (!destination_.accept_call()) {
       ended.outcome = Outcome::full;
       ended.finished = false;
     }
-    answers_.emplace(now_ + takes, Answer{static_cast<std::size_t>(&member - members_.data()), ended});
+    answers_.emplace(now_ + duration, Answer{static_cast<std::size_t>(&member - members_.data()), ended});
   }
 
-  const Scenario world_;
+  const Scenario scenario_;
   std::mt19937 random_;
   RecoveringDestination destination_;
   std::vector<Member> members_;
@@ -205,20 +206,21 @@
 
 class SlowStart : public testing::TestWithParam<std::tuple<std::uint32_t, double, bool, bool>> {};
 
-TEST_P(SlowStart, OfAllForwardersTogetherStaysWithinTheBudget) {
-  Scenario world;
-  std::tie(world.forwarders, world.rate, world.uneven, world.silent) = GetParam();
+TEST_P(SlowStart, CallsOfAllForwardersStayWithinTheBudget) {
+  Scenario scenario;
+  std::tie(scenario.forwarders, scenario.rate, scenario.uneven, scenario.silent) = GetParam();
   for (const auto& [traffic, outage] : {std::pair{0.5, 10}, {0.9, 4}, {0.9, 20}, {1.3, 10}, {3.0, 10}}) {
-    world.traffic = traffic;
-    world.outage = seconds(outage);
-    for (world.seed = 1; world.seed <= 3; ++world.seed) {
-      const Result result = Fleet(world).run();
+    scenario.traffic = traffic;
+    scenario.outage = seconds(outage);
+    for (scenario.seed = 1; scenario.seed <= 3; ++scenario.seed) {
+      const Result result = Fleet(scenario).run();
       if (std::getenv("SHOW"))
         std::printf(
             "R %u rate %g uneven %d silent %d traffic %g seed %u: excess %.1f (all %.1f), delivered %.2f\n",
-            world.forwarders, world.rate, world.uneven, world.silent, world.traffic, world.seed,
-            result.max_excess_informed, result.max_excess_all, result.delivered_share);
-      EXPECT_LE(result.max_excess_informed, 0) << "traffic " << world.traffic << ", seed " << world.seed;
+            scenario.forwarders, scenario.rate, scenario.uneven, scenario.silent, scenario.traffic,
+            scenario.seed, result.max_excess_informed, result.max_excess_all, result.delivered_share);
+      EXPECT_LE(result.max_excess_informed, 0)
+          << "traffic " << scenario.traffic << ", seed " << scenario.seed;
     }
   }
 }
