--- a/src/http/answer_meaning.cpp
+++ b/src/http/answer_meaning.cpp
@@ -9,46 +9,47 @@
 using starlinghook::Outcome;
 
 AnswerMeaning interpret_answer(const HttpReader& answer) {
-  AnswerMeaning m;
+  AnswerMeaning meaning;
   constexpr std::uint64_t kMaxRetryAfterMs = 1000ull * 60 * 60 * 24;
   switch (answer.status()) {
     case 200:
-      m.outcome = Outcome::delivered;
+      meaning.outcome = Outcome::delivered;
       break;
     case 500:
-      m.outcome = Outcome::error;
+      meaning.outcome = Outcome::error;
       break;
     case 429:
-      m.outcome = Outcome::full;
+      meaning.outcome = Outcome::full;
       if (const auto wait = answer.header("x-come-back-ms")) {
-        // Guards against losing a wait that is not written as a whole number: it is rounded up.
+        // Rounds a fractional wait up to whole milliseconds, so that a value that is not an integer is not
+        // lost.
         double ms = 0;
         const auto [end, error] = std::from_chars(wait->data(), wait->data() + wait->size(), ms);
         if (error == std::errc() && ms > 0) {
-          m.retry_after = std::chrono::milliseconds(
+          meaning.retry_after = std::chrono::milliseconds(
               std::min(kMaxRetryAfterMs, static_cast<std::uint64_t>(std::ceil(std::min(ms, 1e12)))));
         }
       }
       break;
     case 503:
-      m.no_slot = answer.header("x-line-busy") == "1";
-      m.outcome = m.no_slot ? Outcome::not_sent : Outcome::full;
+      meaning.no_slot = answer.header("x-line-busy") == "1";
+      meaning.outcome = meaning.no_slot ? Outcome::not_sent : Outcome::full;
       break;
     case 504:
-      m.outcome = Outcome::not_sent;
+      meaning.outcome = Outcome::not_sent;
       break;
     case 410:
-      m.outcome = Outcome::not_sent;
-      m.ended_elsewhere = true;
+      meaning.outcome = Outcome::not_sent;
+      meaning.ended_elsewhere = true;
       break;
-    default:  // nothing that the protocol knows: it may have run
-      m.recognized = false;
+    default:  // a status outside the protocol: the call may have run
+      meaning.recognized = false;
   }
-  return m;
+  return meaning;
 }
 
 namespace {
-constexpr double kMaxReportedRate = 1e9;  // calls a second
+constexpr double kMaxReportedRate = 1e9;  // calls per second
 }
 
 starlinghook::LoadReport parse_load_report(std::string_view text, const wire::InstanceSettings& boot) {
@@ -68,7 +69,7 @@
     bool& seen = name == allowance ? has_allowance : has_limit;
     const char* const last = number.data() + number.size();
     const auto [end, error] = std::from_chars(number.data(), last, field);
-    // Guards against half a report: one that cannot be read in every part is none.
+    // A report with any unreadable field counts as no report, so that half of one is never used.
     if (seen || error != std::errc() || end != last || !std::isfinite(field) || field < 0 ||
         field > kMaxReportedRate) {
       return {};
--- a/src/http/answer_meaning.hpp
+++ b/src/http/answer_meaning.hpp
@@ -1,4 +1,5 @@
-// What a host's answer means for its call, by the protocol's table, and the load report that it may carry.
+// Interprets a host's answer to a call according to the protocol's table, and parses the load report that it
+// may carry.
 #pragma once
 
 #include <string_view>
@@ -18,7 +19,7 @@
 };
 AnswerMeaning interpret_answer(const HttpReader& answer);
 
-// None where any part of it cannot be read.
+// Returns a report with `present == false` if any part of it cannot be parsed.
 starlinghook::LoadReport parse_load_report(std::string_view text, const wire::InstanceSettings& boot);
 
 }  // namespace fennellane
--- a/src/http/answer_pairing.cpp
+++ b/src/http/answer_pairing.cpp
@@ -4,22 +4,22 @@
 
 namespace fennellane {
 
-void AnswerPairing::begin_call(bool asks_close) {
-  if (!can_start_call() || (must_request_close() && !asks_close)) {
-    throw std::logic_error("a call on a connection that may not carry it");
+void AnswerPairing::begin_call(bool requests_close) {
+  if (!can_start_call() || (must_request_close() && !requests_close)) {
+    throw std::logic_error("the connection cannot carry this call");
   }
   state_ = state_ == State::unused ? State::first_call : State::last_call;
-  requested_close_ = asks_close;
+  requested_close_ = requests_close;
   ++calls_;
 }
 
-bool AnswerPairing::match_answer(bool says_close) {
+bool AnswerPairing::match_answer(bool has_connection_close) {
   switch (state_) {
     case State::first_call:
-      state_ = requested_close_ || says_close ? State::unusable : State::idle;
+      state_ = requested_close_ || has_connection_close ? State::unusable : State::idle;
       return true;
     case State::last_call:
-      if (!says_close) return false;
+      if (!has_connection_close) return false;
       state_ = State::unusable;
       return true;
     default:
--- a/src/http/answer_pairing.hpp
+++ b/src/http/answer_pairing.hpp
@@ -1,10 +1,11 @@
-// Which call an answer belongs to on one HTTP/1.1 connection whose answers carry no id of their call. No
-// input or output and no clock.
+// Matches answers to calls on one HTTP/1.1 connection, where answers carry no call id. Pure state machine:
+// performs no I/O and reads no clock.
 //
-// A path may repeat, delay or make up answers, so the next answer need not be the newest call's. Two calls of
-// a connection have an answer that is surely theirs: the first, where nothing came before it, has the first
-// answer; and one that asks for the connection's close has the answer that says `Connection: close`, as none
-// before it does. So a connection carries these two at most, the second only asking for the close.
+// The network path may repeat, delay or forge answers, so the next answer need not belong to the newest call.
+// Two calls per connection can be matched reliably: the first call, if no bytes preceded it, owns the first
+// answer; and a call that requests `Connection: close` owns the answer that says `Connection: close`, since
+// no earlier answer does. A connection therefore carries at most these two calls, the second only if it
+// requests the close.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +16,21 @@
  public:
   // Whether another call may be written.
   bool can_start_call() const { return state_ == State::unused || state_ == State::idle; }
-  // Whether that call has to ask for the connection's close.
+  // Whether the next call must request that the connection be closed.
   bool must_request_close() const { return state_ == State::idle; }
-  // The call's first byte is about to be written, and nothing unread has come. Requires `may_call`.
-  void begin_call(bool asks_close);
-
-  // Of a whole final answer while a call is out: whether it is that call's. If so, the call is over.
-  bool match_answer(bool says_close);
-  // Whether whatever comes next, in whole or in part, is the call's answer.
+  // Called just before the first byte of a call is written, with no unread input on the connection. Requires
+  // `can_start_call()`.
+  void begin_call(bool requests_close);
+
+  // Given a complete final answer while a call is in flight, returns whether it belongs to that call. If so,
+  // the call has ended.
+  bool match_answer(bool has_connection_close);
+  // Whether the next bytes to arrive, complete or not, are the call's answer.
   bool next_answer_matches() const { return state_ == State::first_call; }
-  // How many calls have begun.
+  // Number of calls started.
   unsigned calls() const { return calls_; }
 
-  // Bytes came that no call had asked for, or the connection has ended: it carries no other call.
+  // Unsolicited bytes arrived or the connection has ended: it carries no further call.
   void mark_unusable() { state_ = State::unusable; }
 
   template <class Archive>
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -26,11 +26,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxAnswerBytes = 512;  // more than the longest answer
-constexpr std::size_t kMaxReasonBytes = 200;  // of a reason why the relay is not ready
+constexpr std::size_t kMaxAnswerBytes = 512;  // larger than any answer
+constexpr std::size_t kMaxReasonBytes = 200;  // of the reason why the relay is not ready
 
-// Guards an option that has to be in force against a passing shortage. One that fails for good leaves a
-// connection that works, only less well.
+// Retries an option that must be set, in case of a transient local shortage. If it fails permanently, the
+// connection still works, only less well.
 template <class Option>
 void set_option(tcp::socket& socket, const Option& option) {
   constexpr int kTries = 4;
@@ -47,14 +47,14 @@
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
-// "dest=7", perhaps among other parts.
-std::optional<std::uint64_t> parse_destination(std::string_view text, std::uint64_t most) {
+// Parses "dest=7", which may stand among other parameters.
+std::optional<std::uint64_t> parse_destination(std::string_view text, std::uint64_t max_value) {
   while (!text.empty()) {
     std::string_view part = text.substr(0, text.find_first_of(",;"));
     text.remove_prefix(std::min(text.size(), part.size() + 1));
     while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
     while (!part.empty() && part.back() == ' ') part.remove_suffix(1);
-    if (part.starts_with("dest=")) return parse_unsigned(part.substr(5), most);
+    if (part.starts_with("dest=")) return parse_unsigned(part.substr(5), max_value);
   }
   return std::nullopt;
 }
@@ -62,54 +62,55 @@
 }  // namespace
 
 std::variant<MessageSubmitted, unsigned> parse_message_request(HttpReader& request, const Config& config) {
-  constexpr unsigned kBad = 400, kNoPath = 404, kNoMethod = 405;
+  constexpr unsigned kBadRequest = 400, kNotFound = 404, kMethodNotAllowed = 405;
   const Limits& limits = config.limits;
   const wire::InstanceSettings& boot = config.boot;
   const std::string_view path = std::string_view(request.target()).substr(0, request.target().find('?'));
-  const auto of_path = path.starts_with('/') ? find_position(boot.classes, path.substr(1)) : std::nullopt;
-  if (!of_path) return kNoPath;
-  if (request.method() != "POST") return kNoMethod;
+  const auto path_class = path.starts_with('/') ? find_position(boot.classes, path.substr(1)) : std::nullopt;
+  if (!path_class) return kNotFound;
+  if (request.method() != "POST") return kMethodNotAllowed;
   const auto message_class = request.header("x-call-class"), id = request.header("x-call-id"),
              tenant = request.header("x-caller"), budget = request.header("x-budget-ms"),
              consignee = request.header("x-consignee");
-  if (!message_class || !id || !budget || !consignee) return kBad;
-  if (find_position(boot.classes, *message_class) != of_path) return kBad;
-  const bool keyed = boot.settings.classes.at(*of_path).effect == starlinghook::Effect::keyed;
-  if (id->empty() || id->size() > limits.max_id_size || !is_visible_ascii(*id) || *id == ",") return kBad;
+  if (!message_class || !id || !budget || !consignee) return kBadRequest;
+  if (find_position(boot.classes, *message_class) != path_class) return kBadRequest;
+  const bool keyed = boot.settings.classes.at(*path_class).effect == starlinghook::Effect::keyed;
+  if (id->empty() || id->size() > limits.max_id_size || !is_visible_ascii(*id) || *id == ",")
+    return kBadRequest;
   const auto key = request.header("idempotency-key");
-  // Guards the partner against a message whose repeats it could not tell.
-  if (keyed && !key) return kBad;
+  // Without a key the partner could not recognize repeats of the message.
+  if (keyed && !key) return kBadRequest;
   if (key && (key->empty() || key->size() > limits.max_idempotency_key_size || !is_visible_ascii(*key) ||
               *key == ","))
-    return kBad;
-  MessageSubmitted offer;
-  if (key) offer.idempotency_key = *key;
-  offer.message_class = *of_path;
+    return kBadRequest;
+  MessageSubmitted message;
+  if (key) message.idempotency_key = *key;
+  message.message_class = *path_class;
   if (!boot.tenants.empty()) {
-    const auto named = tenant ? find_position(boot.tenants, *tenant) : std::nullopt;
-    if (!named) return kBad;
-    offer.tenant = *named;
+    const auto tenant_index = tenant ? find_position(boot.tenants, *tenant) : std::nullopt;
+    if (!tenant_index) return kBadRequest;
+    message.tenant = *tenant_index;
   }
-  const auto most = std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_budget).count();
-  const auto ms = parse_unsigned(*budget, static_cast<std::uint64_t>(most));
+  const auto max_ms = std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_budget).count();
+  const auto ms = parse_unsigned(*budget, static_cast<std::uint64_t>(max_ms));
   const auto dest = parse_destination(*consignee, limits.max_destination);
-  if (!ms || !dest) return kBad;
-  offer.time_left = std::chrono::milliseconds(*ms);
-  offer.destination = static_cast<std::uint32_t>(*dest);
-  offer.id = *id;
-  offer.body = std::make_shared<const std::string>(request.take_body());
-  return offer;
+  if (!ms || !dest) return kBadRequest;
+  message.time_left = std::chrono::milliseconds(*ms);
+  message.destination = static_cast<std::uint32_t>(*dest);
+  message.id = *id;
+  message.body = std::make_shared<const std::string>(request.take_body());
+  return message;
 }
 
-// No operation that is under way reads, writes or accepts by itself: a socket is waited for, and used in a
-// handler. So between two handlers the members say what the socket has seen, and another process can go on
-// with both.
+// No pending asynchronous operation reads, writes or accepts by itself: it only waits until a socket is
+// ready, and the handler then uses the socket. Between two handlers the fields therefore reflect exactly what
+// was read and written, and another process can continue from them.
 class Downstream::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Downstream& owner, tcp::socket socket, RequestHandle number)
+  Session(Downstream& owner, tcp::socket socket, RequestHandle id)
       : owner_(owner),
         limits_(owner.config_.limits),
-        session_id_(number),
+        session_id_(id),
         socket_(std::move(socket)),
         timer_(owner.io_),
         in_(limits_.read_ring_size),
@@ -141,26 +142,26 @@
     process_input();
   }
 
-  // Between requests, as far as has been read.
+  // Whether the connection is between requests, judging by the input read so far.
   bool is_between_requests() const { return !closing_ && !request_.started() && in_.empty() && out_.empty(); }
-  // And none has come that has not been read yet.
+  // Whether, in addition, no unread input is waiting on the socket.
   bool is_idle() const { return is_between_requests() && !has_unread_input(); }
   bool has_unread_input() const {
     asio::error_code ignored;
     return socket_.available(ignored) > 0;
   }
-  // Tells how it stands, after anything that may have changed it.
+  // Reports the session's state to the connection table; called after anything that may have changed it.
   void update_connection_table() {
-    admission::ConnectionTable& places = owner_.connection_table_;
-    if (lingering_) return places.mark_closing(session_id_, steady_now());
-    if (closing_ || yielded_ || !out_.empty()) return places.mark_busy(session_id_);
-    if (!is_between_requests()) return places.request_started(session_id_, steady_now());
-    if (!idle_reported_ && request_received_) places.mark_idle(session_id_, steady_now(), submitted_message_);
+    admission::ConnectionTable& table = owner_.connection_table_;
+    if (lingering_) return table.mark_closing(session_id_, steady_now());
+    if (closing_ || yielded_ || !out_.empty()) return table.mark_busy(session_id_);
+    if (!is_between_requests()) return table.request_started(session_id_, steady_now());
+    if (!idle_reported_ && request_received_) table.mark_idle(session_id_, steady_now(), submitted_message_);
     idle_reported_ = true;
   }
 
-  // Puts the answer into the ring and as much of it on its way as goes at once, so that it leaves before what
-  // the relay does next.
+  // Appends the answer to the ring buffer and writes as much of it as the socket takes at once, so that it
+  // leaves before the relay's next action.
   void answer(unsigned status, std::string_view more_headers = {},
               AdmissionOutcome admission = AdmissionOutcome::malformed, StreamId stream = 0) {
     owner_.record_.note(record::Kind::answered, session_id_, static_cast<std::uint16_t>(status),
@@ -173,8 +174,8 @@
     if (!writing_) write_pending();
   }
 
-  // No more is written; what the client still sends is read and dropped, so that no reset overtakes the
-  // answer.
+  // Shuts down sending. Further input is read and discarded, since closing over unread input would send a
+  // reset that could overtake the answer.
   void close_after_linger() {
     closing_ = true;
     if (lingering_) return;
@@ -186,19 +187,20 @@
     update_connection_table();
   }
 
-  // Closes at once, so that the place is free; half a request hears why, if the answer leaves in one piece.
+  // Closes at once to free the connection slot. An unfinished request gets a 408, if it can be written
+  // without blocking.
   void evict() {
     if (request_.started() && !lingering_) answer(408);
     close(CloseReason::evicted);
   }
 
-  void close(CloseReason how) {
+  void close(CloseReason reason) {
     asio::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
     if (owner_.sessions_.erase(session_id_) == 0) return;
     owner_.connection_table_.remove(session_id_);
-    owner_.record_.note(record::Kind::client, session_id_, static_cast<std::uint16_t>(how),
+    owner_.record_.note(record::Kind::client, session_id_, static_cast<std::uint16_t>(reason),
                         {record::ms32(elapsed_since(accepted_at_)), request_count_,
                          record::ms32(elapsed_since(state_since_))});
   }
@@ -210,7 +212,7 @@
     if (classify_socket_error(error) != SocketError::local_shortage) return;
     retry_after_pause([](Session& self) { self.shutdown_send(); });
   }
-  // For an operation that failed for want of something here.
+  // Repeats an operation that failed because of a local shortage.
   template <class Action>
   void retry_after_pause(Action action) {
     ++owner_.counters_.local_retries;
@@ -233,7 +235,8 @@
     timer_.expires_at(at);
     timer_.async_wait([self = shared_from_this()](asio::error_code e) {
       if (e || self->lingering_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
-      // Guards against answers that nobody reads, or too slowly, holding their connection for good.
+      // Closes the connection if the client reads its answers too slowly or not at all, so that it cannot
+      // hold the connection forever.
       if (!self->closing_ && !self->out_.empty() &&
           self->bytes_drained_ >= self->limits_.min_linger_progress) {
         return self->restart_drain_timer();
@@ -242,7 +245,7 @@
       if (self->is_idle())
         return self->close(self->request_received_ ? CloseReason::idle_timeout
                                                    : CloseReason::request_timeout);
-      // Guards against half a request holding its connection for good.
+      // An unfinished request must not hold its connection forever.
       if (self->request_.started()) self->answer(408);
       self->flush_then_read();
       if (!self->out_.empty()) return self->arm_timer(self->limits_.linger_timeout);
@@ -250,8 +253,9 @@
     });
   }
 
-  // Waits first and reads then. Guards against closing as idle a connection whose request the loop has taken
-  // off the socket and not yet shown: what has come is seen by idle() until it is processed.
+  // Waits for readability first and reads in the handler, so that received bytes stay visible to is_idle()
+  // until they are processed. Otherwise a connection could be closed as idle although its request had already
+  // been taken off the socket.
   void await_readable() {
     if (reading_ || !socket_.is_open()) return;
     reading_ = true;
@@ -291,25 +295,27 @@
     if (lingering_) in_.clear();
     unsigned handled = 0;
     while (!in_.empty() && !closing_ && !write_failed_ && has_answer_room()) {
-      // Guards all others against one that sends many requests at once: it goes on in the loop's next turn.
+      // Limits the requests handled per turn of the event loop, so that one client that sends many at once
+      // does not delay the others.
       if (handled++ == limits_.max_requests_per_turn) {
         yield_to_loop();
         break;
       }
-      const bool fresh = !request_.started();
-      const bool head = request_.head_done();
+      const bool no_request_before = !request_.started();
+      const bool head_done_before = request_.head_done();
       in_.consume(request_.feed(in_.data()));
-      if (request_received_ && fresh && request_.started() && !request_.done()) {
+      if (request_received_ && no_request_before && request_.started() && !request_.done()) {
         state_since_ = std::chrono::steady_clock::now();
         if (!output_blocked_) arm_timer(limits_.request_timeout);
       }
       if (request_.failed()) {
         answer(request_.error_status());
-        in_.clear();  // nothing behind it is read as a request
+        in_.clear();  // nothing after it is parsed as a request
         arm_timer(limits_.linger_timeout);
         break;
       }
-      if (!head && request_.head_done() && !request_.done() && request_.header("expect") == "100-continue") {
+      if (!head_done_before && request_.head_done() && !request_.done() &&
+          request_.header("expect") == "100-continue") {
         out_.append("HTTP/1.1 100 Continue\r\n\r\n");
       }
       if (request_.done()) {
@@ -338,15 +344,15 @@
       if (owner_.ready_) return answer(200, "", AdmissionOutcome::other);
       return answer(503, "X-Not-Ready: " + owner_.not_ready_reason_ + "\r\n", AdmissionOutcome::other);
     }
-    std::variant<MessageSubmitted, unsigned> offer = parse_message_request(request_, owner_.config_);
-    if (const unsigned* refused = std::get_if<unsigned>(&offer)) {
-      return answer(*refused, *refused == 405 ? "Allow: POST\r\n" : "");
+    std::variant<MessageSubmitted, unsigned> parsed = parse_message_request(request_, owner_.config_);
+    if (const unsigned* status = std::get_if<unsigned>(&parsed)) {
+      return answer(*status, *status == 405 ? "Allow: POST\r\n" : "");
     }
-    auto& message = std::get<MessageSubmitted>(offer);
+    auto& message = std::get<MessageSubmitted>(parsed);
     owner_.record_.note(record::Kind::asked, session_id_, static_cast<std::uint16_t>(message.message_class),
                         {message.tenant, message.destination, record::ms32(message.time_left)}, message.id);
-    // Guards against taking on what its client has given up while it waited to be read: it comes again under
-    // another id.
+    // Refuses a message whose client disconnected while the request waited to be read: the client sends it
+    // again under another id.
     if (client_disconnected()) {
       ++owner_.counters_.refused;
       return answer(503, "", AdmissionOutcome::client_gone);
@@ -356,15 +362,15 @@
     owner_.on_message_(std::move(message));
   }
 
-  // How long the request's last byte has waited here, also before the connection was accepted.
+  // How long ago the last byte of the request arrived, including time before the connection was accepted.
   Time request_wait_time() {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return Time(0);
     return std::chrono::milliseconds(info.tcpi_last_data_recv);
   }
-  static Time elapsed_since(std::chrono::steady_clock::time_point then) {
-    return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - then);
+  static Time elapsed_since(std::chrono::steady_clock::time_point start) {
+    return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - start);
   }
 
   bool client_disconnected() {
@@ -378,19 +384,19 @@
     return out_.room() >= kMaxAnswerBytes;
   }
 
-  // As much as goes at once.
+  // Writes as much as the socket takes without blocking.
   void write_pending() {
     asio::error_code error;
-    SocketError sorted = SocketError::none;
-    while (!out_.empty() && (sorted == SocketError::none || sorted == SocketError::interrupted)) {
+    SocketError error_class = SocketError::none;
+    while (!out_.empty() && (error_class == SocketError::none || error_class == SocketError::interrupted)) {
       const std::string_view data = out_.data();
       const std::size_t n = socket_.write_some(asio::buffer(data.data(), data.size()), error);
       out_.consume(n);
       bytes_drained_ += n;
-      sorted = classify_socket_error(error);
+      error_class = classify_socket_error(error);
     }
-    local_shortage_ = sorted == SocketError::local_shortage;
-    if (sorted == SocketError::peer) write_failed_ = true;
+    local_shortage_ = error_class == SocketError::local_shortage;
+    if (error_class == SocketError::peer) write_failed_ = true;
   }
 
   void flush_then_read() {
@@ -408,7 +414,7 @@
     if (!std::exchange(output_blocked_, true)) restart_drain_timer();
     update_connection_table();
   }
-  // What waits is to be taken at a least rate from now on.
+  // From now on the client must read the pending answers at a minimum rate.
   void restart_drain_timer() {
     bytes_drained_ = 0;
     arm_timer(limits_.linger_timeout);
@@ -419,14 +425,14 @@
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code e) {
       if (!self->socket_.is_open()) return;
       if (classify_socket_error(e) == SocketError::peer) return self->close(CloseReason::client_closed);
-      if (e) return self->retry_after_pause([](Session& waiting) { waiting.resume_writing(); });
+      if (e) return self->retry_after_pause([](Session& session) { session.resume_writing(); });
       self->resume_writing();
     });
   }
   void resume_writing() {
     writing_ = false;
     write_pending();
-    // Requests that came while the answers had no room go on now.
+    // Continue with requests that arrived while there was no room for their answers.
     if (!in_.empty() && !closing_) return process_input();
     flush_then_read();
   }
@@ -434,7 +440,7 @@
     if (lingering_) in_.clear();
     if (in_.empty()) await_readable();
     update_connection_table();
-    owner_.close_surplus_sessions();  // perhaps this one
+    owner_.close_surplus_sessions();  // may close this connection
   }
 
   Downstream& owner_;
@@ -447,32 +453,32 @@
   HttpReader request_;
   const std::chrono::steady_clock::time_point accepted_at_ =
       std::chrono::steady_clock::now();                               // by this process
-  std::chrono::steady_clock::time_point state_since_ = accepted_at_;  // it has been as it is
+  std::chrono::steady_clock::time_point state_since_ = accepted_at_;  // when it entered its present state
   std::uint32_t request_count_ = 0;
-  bool submitted_message_ = false;  // a message, over this connection
-  bool idle_reported_ = false;      // that it rests, since its newest request
-  Time request_wait_{};             // of the newest request, where that is recorded
-  bool request_received_ = false;   // a whole request has come
-  std::size_t bytes_drained_ = 0;   // bytes, since the least rate was looked at last
-  bool output_blocked_ = false;     // answers wait for the client to take them
-  bool yielded_ = false;            // requests that have been read go on in the loop's next turn
+  bool submitted_message_ = false;  // at least one message arrived over this connection
+  bool idle_reported_ = false;      // since the last request
+  Time request_wait_{};             // of the last request; measured only while recording
+  bool request_received_ = false;   // at least one whole request has arrived
+  std::size_t bytes_drained_ = 0;   // since the last check of the minimum rate
+  bool output_blocked_ = false;     // answers are waiting for the client to read them
+  bool yielded_ = false;            // the remaining buffered requests are handled in the loop's next turn
   bool reading_ = false;
   bool writing_ = false;
   bool input_ended_ = false;  // the client sends no more
-  bool closing_ = false;      // nothing more is answered
+  bool closing_ = false;      // no further request is answered
   bool lingering_ = false;
   bool write_failed_ = false;
-  bool local_shortage_ = false;  // the newest write failed for want of something here
+  bool local_shortage_ = false;  // the last write failed because of a local shortage
 };
 
 Downstream::Downstream(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-                       record::Recorder& record, OnMessage on_offer)
+                       record::Recorder& record, OnMessage on_message)
     : io_(io),
       config_(config),
       counters_(counters),
       log_(log),
       record_(record),
-      on_message_(std::move(on_offer)),
+      on_message_(std::move(on_message)),
       acceptor_(io),
       pause_timer_(io),
       connection_table_({config.limits.max_downstream_connections, config.limits.max_submitting_connections,
@@ -504,18 +510,18 @@
   return false;
 }
 
-void Downstream::listen_at(const tcp::endpoint& at, Time give_up_at) {
+void Downstream::listen_at(const tcp::endpoint& at, Time deadline) {
   asio::error_code error;
   if (open_listener(at, error)) return await_connection();
-  const std::string what = "cannot listen on " + config_.listen.text() + ": " + error.message();
-  const SocketError sorted = classify_socket_error(error);
-  if (sorted == SocketError::peer || sorted == SocketError::not_ready || steady_now() >= give_up_at) {
-    throw ListenError(what);
+  const std::string error_text = "cannot listen on " + config_.listen.text() + ": " + error.message();
+  const SocketError error_class = classify_socket_error(error);
+  if (error_class == SocketError::peer || error_class == SocketError::not_ready || steady_now() >= deadline) {
+    throw ListenError(error_text);
   }
-  if (!std::exchange(accept_failure_logged_, true)) log_("downstream", what);
+  if (!std::exchange(accept_failure_logged_, true)) log_("downstream", error_text);
   pause_timer_.expires_after(config_.limits.accept_backoff);
-  pause_timer_.async_wait([this, at, give_up_at](asio::error_code e) {
-    if (!e) listen_at(at, give_up_at);
+  pause_timer_.async_wait([this, at, deadline](asio::error_code e) {
+    if (!e) listen_at(at, deadline);
   });
 }
 
@@ -527,7 +533,8 @@
   });
 }
 
-// Guards those who come behind many others: one a turn is few, where each turn has much to do.
+// Accepts several connections per turn of the event loop: with only one, new clients would wait too long
+// whenever a turn has much work.
 void Downstream::accept_batch() {
   for (unsigned i = 0; i < config_.limits.max_accepts_per_turn; ++i) {
     switch (accept_one()) {
@@ -542,8 +549,8 @@
   await_connection();
 }
 
-// The next connection's, or none with the errno. Not by the library's own call, which waits for the next
-// client where one is gone before it was accepted, and the loop with it.
+// Returns the next connection's descriptor, or none and the errno. Calls accept4 directly: if a client is
+// gone before it is accepted, the library's accept would wait for the next client and block the loop.
 FileDescriptor Downstream::accept_descriptor(int& error) {
   if (pending_descriptor_.get() >= 0) return std::exchange(pending_descriptor_, FileDescriptor());
   FileDescriptor fd(::accept4(acceptor_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
@@ -554,9 +561,10 @@
 Downstream::AcceptResult Downstream::accept_one() {
   int failure = 0;
   FileDescriptor fd = accept_descriptor(failure);
-  if (affects_one_connection(failure)) return AcceptResult::accepted;  // that one is gone, another may wait
+  // This connection is gone, others may be pending.
+  if (affects_one_connection(failure)) return AcceptResult::accepted;
   if (classify_socket_error(failure) == SocketError::not_ready) return AcceptResult::none_pending;
-  // Guards against spinning, or ending, where no descriptor is left.
+  // Pause instead of spinning or exiting when no descriptor is left.
   if (failure != 0) {
     if (!std::exchange(accept_failure_logged_, true))
       log_("downstream", std::string("cannot accept: ") + std::strerror(failure));
@@ -575,9 +583,9 @@
 }
 
 Downstream::AcceptResult Downstream::add_session(tcp::socket socket) {
-  const bool room = ensure_connection_slot();
+  const bool has_slot = ensure_connection_slot();
   set_option(socket, tcp::no_delay(true));
-  // Guards the system's memory against clients that ask on and read nothing.
+  // Bounds kernel memory for clients that keep sending requests without reading the answers.
   set_option(socket,
              asio::socket_base::send_buffer_size(static_cast<int>(config_.limits.answer_socket_buffer)));
   ++counters_.client_connections;
@@ -585,14 +593,14 @@
   sessions_.emplace(next_session_id_ - 1, session);
   connection_table_.add(next_session_id_ - 1, steady_now());
   session->start();
-  if (!room) record_.note(record::Kind::no_place, 0, 0, {static_cast<std::uint32_t>(sessions_.size())});
-  return room ? AcceptResult::accepted : AcceptResult::must_pause;
+  if (!has_slot) record_.note(record::Kind::no_place, 0, 0, {static_cast<std::uint32_t>(sessions_.size())});
+  return has_slot ? AcceptResult::accepted : AcceptResult::must_pause;
 }
 
 void Downstream::close_surplus_sessions() {
   while (const auto id = connection_table_.surplus_idle()) {
     const std::shared_ptr<Session> session = sessions_.at(*id);
-    // Guards against closing on a request that has come and has not been read: it is read in its turn.
+    // Do not close over a request that has arrived but is still unread: it is handled first.
     if (session->has_unread_input()) {
       connection_table_.mark_busy(*id);
       continue;
@@ -611,14 +619,14 @@
   });
 }
 
-// Guards the descriptors, and usual clients against those that only hold places: where all are taken, the one
-// with the least claim makes way.
+// Keeps descriptors available, and protects active clients from those that merely hold connections: when all
+// slots are taken, the best eviction candidate is closed.
 bool Downstream::ensure_connection_slot() {
   while (!connection_table_.has_room()) {
     const auto id = connection_table_.eviction_candidate(steady_now());
     if (!id) return false;
     const std::shared_ptr<Session> session = sessions_.at(*id);
-    // Guards against closing on a request that has come and has not been read: it is read in its turn.
+    // Do not close over a request that has arrived but is still unread: it is handled first.
     if (!session->is_lingering() && session->has_unread_input()) {
       connection_table_.mark_busy(*id);
       continue;
@@ -636,8 +644,8 @@
     return it->second->answer(202, "", answer.admission, answer.stream);
   if (answer.reply == AdmissionReply::unknown_destination)
     return it->second->answer(400, "", answer.admission);
-  const auto again = std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count();
-  it->second->answer(503, again > 0 ? "Retry-After: " + std::to_string(again) + "\r\n" : "",
+  const auto retry_after_s = std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count();
+  it->second->answer(503, retry_after_s > 0 ? "Retry-After: " + std::to_string(retry_after_s) + "\r\n" : "",
                      answer.admission);
 }
 
@@ -673,7 +681,7 @@
 
 void Downstream::resume() {
   await_connection();
-  const auto sessions = sessions_;  // a copy: some may end as they go on
+  const auto sessions = sessions_;  // a copy, since sessions may end while resuming
   for (const auto& [number, session] : sessions) session->resume();
 }
 
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -10,14 +10,14 @@
 
 constexpr unsigned kBadRequest = 400, kBodyTooLarge = 413, kHeadTooLarge = 431, kVersionNotSupported = 505;
 constexpr std::size_t kFirstLineBytes = 13;     // "HTTP/1.1 200 "
-constexpr std::size_t kHeaderLineOverhead = 4;  // what a header line has beside name and value
+constexpr std::size_t kHeaderLineOverhead = 4;  // ": " and the line end
 
 char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 constexpr std::string_view kHttpVersionPrefix = "HTTP/1.";
 constexpr std::size_t kStatusLinePrefixBytes = kHttpVersionPrefix.size() + 5;  // "HTTP/1.1 200"
 
-// How many status lines begin in a text, before a position in it.
+// Counts the status lines that start in the text before position `end`.
 unsigned count_status_line_starts(std::string_view text, std::size_t end = std::string_view::npos) {
   unsigned count = 0;
   for (std::size_t at = 0; (at = text.find(kHttpVersionPrefix, at)) < end; ++at) {
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-HttpReader::HttpReader(Kind kind, std::size_t most_head, std::size_t most_body)
-    : kind_(kind), max_head_bytes_(most_head), max_body_bytes_(most_body) {
+HttpReader::HttpReader(Kind kind, std::size_t max_head_bytes, std::size_t max_body_bytes)
+    : kind_(kind), max_head_bytes_(max_head_bytes), max_body_bytes_(max_body_bytes) {
   reset();
 }
 
@@ -68,16 +68,16 @@
 int HttpReader::on_head_complete() {
   for (auto& [name, value] : headers_) {
     std::transform(name.begin(), name.end(), name.begin(), to_lower);
-    value.erase(value.find_last_not_of(" \t") + 1);  // the space around a value is no part of it
+    value.erase(value.find_last_not_of(" \t") + 1);  // surrounding whitespace is not part of the value
   }
   head_done_ = true;
-  // HTTP/0.9 answers have no head, and what another major version means is not known here.
+  // HTTP/0.9 answers have no head, and other major versions are unknown here.
   if (parser_.http_major != 1) error_status_ = kVersionNotSupported;
   if (error_status_ == 0) error_status_ = framing_error_status();
   if (error_status_ == 0 && kind_ == Kind::response && has_embedded_answer()) error_status_ = kBadRequest;
   if (error_status_ != 0) return -1;
   has_connection_close_ = (parser_.flags & F_CONNECTION_CLOSE) != 0;
-  // Guards against taking in a body only to refuse it; without a length it grows to the bound.
+  // Reject an oversized body by its length, before receiving it. Without a length it is read up to the limit.
   if ((parser_.flags & F_CONTENTLENGTH) && parser_.content_length > max_body_bytes_) {
     error_status_ = kBodyTooLarge;
     return -1;
@@ -85,9 +85,9 @@
   return 0;
 }
 
-// Guards against two readings of where a message ends, of which the other one may hide a second message:
-// names that are no names, a length that is not one plain number, a coding other than one `chunked`, both at
-// once.
+// Rejects messages whose end two parsers could place differently, since one of them could then miss a second
+// message (request smuggling): invalid header names, a length that is not one plain number, a transfer coding
+// other than a single `chunked`, and a length together with a coding.
 unsigned HttpReader::framing_error_status() const {
   const auto in_name = [](unsigned char c) {
     return std::isalnum(c) != 0 ||
@@ -111,22 +111,22 @@
   return lengths + codings > 1 ? kBadRequest : 0;
 }
 
-// Guards against half an answer with a whole one behind it being read as one answer, with the status of the
-// first and the headers of the second.
+// Detects a truncated answer followed by a complete one, which the parser would merge into one answer with
+// the status of the first and the headers of the second.
 bool HttpReader::has_embedded_answer() const {
   return count_status_line_starts(reason_phrase_) > 0 ||
          std::any_of(headers_.begin(), headers_.end(),
                      [](const auto& header) { return count_status_line_starts(header.second) > 0; });
 }
 
-// Counted over the bytes as they come, since a head that cannot be read leaves nothing else behind. A line
-// that begins in the taken ones may end in those behind them.
-void HttpReader::count_status_lines(std::string_view bytes, std::size_t taken) {
-  constexpr std::size_t kTailBytes = kStatusLinePrefixBytes - 1;  // holds none
-  const std::string seam = tail_ + std::string(bytes.substr(0, kTailBytes));
-  status_line_count_ += count_status_line_starts(seam, tail_.size());
-  status_line_count_ += count_status_line_starts(bytes, taken);
-  tail_ += bytes.substr(taken - std::min(taken, kTailBytes), std::min(taken, kTailBytes));
+// Counts in the raw bytes, since an unreadable head leaves nothing else behind. A status line that starts in
+// the consumed bytes may end in those after them.
+void HttpReader::count_status_lines(std::string_view bytes, std::size_t consumed) {
+  constexpr std::size_t kTailBytes = kStatusLinePrefixBytes - 1;  // too short to contain a whole one
+  const std::string boundary = tail_ + std::string(bytes.substr(0, kTailBytes));
+  status_line_count_ += count_status_line_starts(boundary, tail_.size());
+  status_line_count_ += count_status_line_starts(bytes, consumed);
+  tail_ += bytes.substr(consumed - std::min(consumed, kTailBytes), std::min(consumed, kTailBytes));
   if (tail_.size() > kTailBytes) tail_.erase(0, tail_.size() - kTailBytes);
 }
 
@@ -139,7 +139,7 @@
          (after == ' ' || after == '\r' || after == '\n');
 }
 
-// Kept beside the parser, which forgets it where it cannot read on.
+// Kept separately, since the parser drops it when parsing fails.
 void HttpReader::append_first_line(std::string_view bytes) {
   if (first_line_.empty()) bytes.remove_prefix(std::min(bytes.find_first_not_of("\r\n"), bytes.size()));
   first_line_ += bytes.substr(0, kFirstLineBytes - std::min(kFirstLineBytes, first_line_.size()));
@@ -147,62 +147,62 @@
 
 const http_parser_settings& HttpReader::callbacks() {
   static const http_parser_settings settings = [] {
-    http_parser_settings s;
-    http_parser_settings_init(&s);
-    s.on_message_begin = [](http_parser* p) {
-      static_cast<HttpReader*>(p->data)->started_ = true;
+    http_parser_settings parser_settings;
+    http_parser_settings_init(&parser_settings);
+    parser_settings.on_message_begin = [](http_parser* parser) {
+      static_cast<HttpReader*>(parser->data)->started_ = true;
       return 0;
     };
-    s.on_status = [](http_parser* p, const char* at, std::size_t n) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      if (!r.add_head_bytes(n)) return -1;
-      r.reason_phrase_.append(at, n);
+    parser_settings.on_status = [](http_parser* parser, const char* at, std::size_t n) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      if (!reader.add_head_bytes(n)) return -1;
+      reader.reason_phrase_.append(at, n);
       return 0;
     };
-    s.on_url = [](http_parser* p, const char* at, std::size_t n) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      if (!r.add_head_bytes(n)) return -1;
-      r.target_.append(at, n);
+    parser_settings.on_url = [](http_parser* parser, const char* at, std::size_t n) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      if (!reader.add_head_bytes(n)) return -1;
+      reader.target_.append(at, n);
       return 0;
     };
-    s.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      if (r.headers_.empty() || r.reading_header_value_) {
-        if (!r.add_head_bytes(kHeaderLineOverhead)) return -1;
-        r.headers_.emplace_back();
+    parser_settings.on_header_field = [](http_parser* parser, const char* at, std::size_t n) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      if (reader.headers_.empty() || reader.reading_header_value_) {
+        if (!reader.add_head_bytes(kHeaderLineOverhead)) return -1;
+        reader.headers_.emplace_back();
       }
-      r.reading_header_value_ = false;
-      if (!r.add_head_bytes(n)) return -1;
-      r.headers_.back().first.append(at, n);
+      reader.reading_header_value_ = false;
+      if (!reader.add_head_bytes(n)) return -1;
+      reader.headers_.back().first.append(at, n);
       return 0;
     };
-    s.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      r.reading_header_value_ = true;
-      if (r.headers_.empty() || !r.add_head_bytes(n)) return -1;
-      r.headers_.back().second.append(at, n);
+    parser_settings.on_header_value = [](http_parser* parser, const char* at, std::size_t n) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      reader.reading_header_value_ = true;
+      if (reader.headers_.empty() || !reader.add_head_bytes(n)) return -1;
+      reader.headers_.back().second.append(at, n);
       return 0;
     };
-    s.on_headers_complete = [](http_parser* p) {
-      return static_cast<HttpReader*>(p->data)->on_head_complete();
+    parser_settings.on_headers_complete = [](http_parser* parser) {
+      return static_cast<HttpReader*>(parser->data)->on_head_complete();
     };
-    s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      if (r.body_.size() + n > r.max_body_bytes_) {
-        r.error_status_ = kBodyTooLarge;
+    parser_settings.on_body = [](http_parser* parser, const char* at, std::size_t n) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      if (reader.body_.size() + n > reader.max_body_bytes_) {
+        reader.error_status_ = kBodyTooLarge;
         return -1;
       }
-      r.body_.append(at, n);
+      reader.body_.append(at, n);
       return 0;
     };
-    s.on_message_complete = [](http_parser* p) {
-      auto& r = *static_cast<HttpReader*>(p->data);
-      r.keep_alive_ = http_should_keep_alive(p) != 0;
-      r.done_ = true;
-      http_parser_pause(p, 1);  // what follows belongs to the next message
+    parser_settings.on_message_complete = [](http_parser* parser) {
+      auto& reader = *static_cast<HttpReader*>(parser->data);
+      reader.keep_alive_ = http_should_keep_alive(parser) != 0;
+      reader.done_ = true;
+      http_parser_pause(parser, 1);  // the following bytes belong to the next message
       return 0;
     };
-    return s;
+    return parser_settings;
   }();
   return settings;
 }
@@ -212,10 +212,10 @@
   if (kind_ == Kind::response && first_line_.size() < kFirstLineBytes) append_first_line(bytes);
   const std::size_t used = http_parser_execute(&parser_, &callbacks(), bytes.data(), bytes.size());
   if (!done_ && error_status_ == 0 && HTTP_PARSER_ERRNO(&parser_) != HPE_OK) error_status_ = kBadRequest;
-  const std::size_t taken = std::min(used, bytes.size());
-  // Where it cannot be read, what follows may be another answer all the same.
-  if (kind_ == Kind::response) count_status_lines(bytes, failed() ? bytes.size() : taken);
-  return taken;
+  const std::size_t consumed = std::min(used, bytes.size());
+  // If the answer is unreadable, the bytes after it may still contain another answer.
+  if (kind_ == Kind::response) count_status_lines(bytes, failed() ? bytes.size() : consumed);
+  return consumed;
 }
 
 void HttpReader::end_of_input() {
@@ -232,8 +232,8 @@
   std::optional<std::string_view> found;
   for (const auto& [key, value] : headers_) {
     if (key != name) continue;
-    // Guards against two readings of one header: the values that matter hold no comma, so a second one makes
-    // them malformed.
+    // A repeated header could be read in two ways. The values that matter contain no comma, so returning one
+    // makes the header malformed.
     if (found) return std::string_view(",");
     found = value;
   }
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -15,7 +15,7 @@
 auto store_error_in(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 constexpr std::string_view kHttpVersionPrefix = "HTTP/1.";
-constexpr std::size_t kMaxAnswerPrefixBytes = 1024;  // bytes; holds a head and the whole of a short body
+constexpr std::size_t kMaxAnswerPrefixBytes = 1024;  // holds the head and a short body
 
 bool one_is_prefix_of_other(std::string_view one, std::string_view other) {
   const std::size_t common = std::min(one.size(), other.size());
@@ -30,13 +30,13 @@
 }  // namespace
 
 HttpClient::HttpClient(asio::io_context& io, const Address& address, const Limits& limits,
-                       std::size_t most_body, std::size_t most_text)
+                       std::size_t max_body_bytes, std::size_t max_request_bytes)
     : socket_(io),
       timer_(io),
       address_(address),
       in_(limits.read_ring_size),
-      out_(std::max(most_text, limits.max_notice_batch) + 1024),
-      answer_(HttpReader::Kind::response, limits.max_head_size, most_body),
+      out_(std::max(max_request_bytes, limits.max_notice_batch) + 1024),
+      answer_(HttpReader::Kind::response, limits.max_head_size, max_body_bytes),
       max_interim_answers_(limits.max_interim_answers),
       local_retry_delay_(limits.local_retry_delay),
       stray_log_interval_(limits.stray_log_interval) {}
@@ -84,10 +84,10 @@
 
 void HttpClient::report_stray() {
   if (stray_counter_ != nullptr) ++*stray_counter_;
-  if (stray_log_) (*stray_log_)(steady_now(), address_.text() + ": bytes that answer no call");
+  if (stray_log_) (*stray_log_)(steady_now(), address_.text() + ": unsolicited bytes");
 }
 
-// Guards against an answer that came before the call that it seems to answer.
+// Returns false if bytes arrived before the call is sent, since they would be taken for its answer.
 asio::awaitable<bool> HttpClient::can_send(Time limit) {
   const auto end = std::chrono::steady_clock::now() + limit;
   while (socket_.is_open() && pairing_.can_start_call() && !pairing_.must_request_close()) {
@@ -96,15 +96,15 @@
     if (unread != UnreadInput::unknown) co_return unread == UnreadInput::none;
     if (std::chrono::steady_clock::now() > end) break;
     timer_.expires_after(local_retry_delay_);
-    asio::error_code cut_short;
-    co_await timer_.async_wait(store_error_in(cut_short));
+    asio::error_code ignored;
+    co_await timer_.async_wait(store_error_in(ignored));
   }
   co_return false;
 }
 
 asio::awaitable<bool> HttpClient::send(std::string text, Time limit) {
-  const bool may = co_await can_send(limit);
-  if (!may) {
+  const bool ready = co_await can_send(limit);
+  if (!ready) {
     close();
     co_return false;
   }
@@ -136,7 +136,7 @@
     const std::size_t n =
         co_await socket_.async_read_some(asio::buffer(space.data(), space.size()), store_error_in(error));
     timer_.cancel();
-    // Guards against bytes of the old address that had come before the connection was closed.
+    // Rejects bytes that arrived from the old address before the connection was closed.
     if (!socket_.is_open()) co_return false;
     if (error == asio::error::eof) answer_.end_of_input();
     in_.commit(n);
@@ -144,32 +144,33 @@
   do {
     in_.consume(feed_answer());
   } while (skip_interim_answer());
-  const bool read = !answer_.failed() && (!error || answer_.done());
-  if (!read || !answer_.done()) {
-    if (!read) close();
-    co_return read;
+  const bool valid = !answer_.failed() && (!error || answer_.done());
+  if (!valid || !answer_.done()) {
+    if (!valid) close();
+    co_return valid;
   }
-  const bool own = !has_conflicting_answer();
+  const bool unambiguous = !has_conflicting_answer();
   close_after_answer();
-  co_return own;
+  co_return unambiguous;
 }
 
 std::size_t HttpClient::feed_answer() {
   const std::string_view bytes = in_.data();
-  const std::size_t taken = answer_.feed(bytes);
-  answer_prefix_ += bytes.substr(0, std::min(taken, kMaxAnswerPrefixBytes - answer_prefix_.size()));
-  return taken;
+  const std::size_t consumed = answer_.feed(bytes);
+  answer_prefix_ += bytes.substr(0, std::min(consumed, kMaxAnswerPrefixBytes - answer_prefix_.size()));
+  return consumed;
 }
 
 bool HttpClient::has_conflicting_answer() const {
   if (in_.empty()) return false;
   if (answer_.has_second_status_line()) return true;
-  const std::string_view behind = strip_leading_line_ends(in_.data());
-  const bool is_answer = !behind.empty() && one_is_prefix_of_other(behind, kHttpVersionPrefix);
-  return is_answer && !one_is_prefix_of_other(behind, strip_leading_line_ends(answer_prefix_));
+  const std::string_view following = strip_leading_line_ends(in_.data());
+  const bool is_answer = !following.empty() && one_is_prefix_of_other(following, kHttpVersionPrefix);
+  return is_answer && !one_is_prefix_of_other(following, strip_leading_line_ends(answer_prefix_));
 }
 
-// Whether the answer that has come is an interim one; what follows is looked at then.
+// Returns whether the received answer is an interim one. If so, it is dropped and the following bytes are
+// parsed.
 bool HttpClient::skip_interim_answer() {
   if (!answer_.done() || answer_.status() >= 200) return false;
   if (interim_answers_++ >= max_interim_answers_) {
@@ -188,13 +189,13 @@
 
 asio::awaitable<bool> HttpClient::read_answer(Time limit) { return read_answer(limit, limit); }
 
-asio::awaitable<bool> HttpClient::read_answer(Time piece, Time whole) {
-  const auto end = std::chrono::steady_clock::now() + whole;
+asio::awaitable<bool> HttpClient::read_answer(Time piece_limit, Time total_limit) {
+  const auto end = std::chrono::steady_clock::now() + total_limit;
   while (!answer_.done()) {
-    // Guards against an answer that comes byte by byte and never to its end.
-    const auto left = std::chrono::duration_cast<Time>(end - std::chrono::steady_clock::now());
-    const bool good = co_await read(std::clamp(left, Time(0), piece));
-    if (!good) co_return false;
+    // Bounds the whole answer as well, so that one that arrives byte by byte cannot take forever.
+    const auto remaining = std::chrono::duration_cast<Time>(end - std::chrono::steady_clock::now());
+    const bool ok = co_await read(std::clamp(remaining, Time(0), piece_limit));
+    if (!ok) co_return false;
   }
   co_return true;
 }
--- a/src/http/http_client.hpp
+++ b/src/http/http_client.hpp
@@ -1,9 +1,9 @@
-// HTTP calls to discovery's agent or Consul's, for coroutines, each on a connection of its own, so that no
-// answer can be another call's. Every step has a time limit, after which the connection is closed and the
-// step fails.
+// HTTP client for coroutines, used for calls to the discovery agent and to Consul's agent. Each call uses its
+// own connection, so that no answer can belong to another call. Every step has a timeout, after which the
+// connection is closed and the step fails.
 //
-// GCC 12 traps at run time on a co_await inside a condition within a loop. So what is awaited here, and by
-// those who use this, is named first and looked at then.
+// GCC 12 generates code that traps at run time for a co_await in a condition inside a loop. Results are
+// therefore stored in a variable before they are tested, here and in all code that uses this class.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -23,33 +23,34 @@
 
 namespace fennellane {
 
-// For co_spawn: an exception that leaves a coroutine leaves the event loop too. Guards against a part of the
-// relay that has died in silence while the others go on.
+// Completion handler for co_spawn: rethrows an exception that leaves a coroutine, so that it also leaves the
+// event loop. Otherwise one part of the relay could fail silently while the others go on.
 inline void rethrow(std::exception_ptr error) {
   if (error) std::rethrow_exception(error);
 }
 
 class HttpClient {
  public:
-  // `most_text`: of one request; 0 = the usual.
-  HttpClient(asio::io_context& io, const Address& address, const Limits& limits, std::size_t most_body,
-             std::size_t most_text = 0);
+  // `max_request_bytes`: size limit of one request; 0 selects the default.
+  HttpClient(asio::io_context& io, const Address& address, const Limits& limits, std::size_t max_body_bytes,
+             std::size_t max_request_bytes = 0);
 
-  // Bytes that answer no call are counted there and logged, at most once in a while. Both must outlive it.
+  // Counts unsolicited bytes in `counter` and logs them, rate-limited. Both arguments must outlive this
+  // object.
   void enable_stray_reporting(std::uint64_t& counter, Log& log);
 
   asio::awaitable<bool> connect(Time limit);
-  // Once on each connection.
+  // At most once per connection.
   asio::awaitable<bool> send(std::string text, Time limit);
-  // Reads on; false when the connection has ended, or the answer cannot be read or may be none of this call.
-  // The connection is closed behind the answer.
+  // Reads the next piece of the answer. Returns false if the connection has ended, or the answer is
+  // unreadable or may belong to another call. Closes the connection after a complete answer.
   asio::awaitable<bool> read(Time limit);
-  // Reads one whole answer, to its end within the limit.
+  // Reads one complete answer within the limit.
   asio::awaitable<bool> read_answer(Time limit);
-  // Likewise, with a shorter limit for each piece of it.
-  asio::awaitable<bool> read_answer(Time piece, Time whole);
-  // From now on another address: the connection to the old one ends at once, and what was awaited on it
-  // fails.
+  // Same, with a shorter limit for each piece.
+  asio::awaitable<bool> read_answer(Time piece_limit, Time total_limit);
+  // Switches to another address: the connection to the old one is closed at once and pending operations on it
+  // fail.
   void redirect(const Address& address);
   HttpReader& answer() { return answer_; }
   const HttpReader& answer() const { return answer_; }
@@ -62,8 +63,8 @@
   void report_stray();
   bool skip_interim_answer();
   std::size_t feed_answer();
-  // Whether another answer stands in the one that was read, or right behind it, and is no copy of it: either
-  // may be the call's.
+  // Whether the received answer contains, or is followed by, another answer that is not a copy of it. Either
+  // of the two may belong to the call.
   bool has_conflicting_answer() const;
   void close_after_answer();
 
@@ -76,8 +77,8 @@
   AnswerPairing pairing_;
   const unsigned max_interim_answers_;
   const Time local_retry_delay_;
-  unsigned interim_answers_ = 0;  // answers before the call's own
-  std::string answer_prefix_;     // its first bytes as they came
+  unsigned interim_answers_ = 0;  // answers skipped before the call's own
+  std::string answer_prefix_;     // the first bytes of the answer as received
   const Time stray_log_interval_;
   std::uint64_t* stray_counter_ = nullptr;
   std::optional<RateLimitedLog> stray_log_;
--- a/src/http/http_snapshot.hpp
+++ b/src/http/http_snapshot.hpp
@@ -1,4 +1,4 @@
-// What connections remember of the bytes on their way, for a process that takes over from another.
+// Serialization of partly transferred data on connections, for handover to another process.
 #pragma once
 
 #include <http_parser.h>
@@ -11,28 +11,28 @@
 
 template <class Archive>
 void HttpReader::serialize_state(Archive& archive) {
-  const auto pass = [&archive](auto value) {
+  const auto archive_value = [&archive](auto value) {
     archive(value);
     return value;
   };
-  // The parser's own state goes along. Guards against a library of another version that goes on with it.
+  // Includes the parser's internal state, so the other process must use the same version of the library.
   constexpr unsigned kParserVersion =
       HTTP_PARSER_VERSION_MAJOR * 10000 + HTTP_PARSER_VERSION_MINOR * 100 + HTTP_PARSER_VERSION_PATCH;
-  if (pass(kParserVersion) != kParserVersion) {
+  if (archive_value(kParserVersion) != kParserVersion) {
     throw starlinghook::SnapshotError("messages were being read with another version of http-parser");
   }
-  parser_.type = pass(unsigned{parser_.type});
-  parser_.flags = pass(unsigned{parser_.flags});
-  parser_.state = pass(unsigned{parser_.state});
-  parser_.header_state = pass(unsigned{parser_.header_state});
-  parser_.index = pass(unsigned{parser_.index});
-  parser_.uses_transfer_encoding = pass(unsigned{parser_.uses_transfer_encoding});
-  parser_.allow_chunked_length = pass(unsigned{parser_.allow_chunked_length});
-  parser_.lenient_http_headers = pass(unsigned{parser_.lenient_http_headers});
-  parser_.status_code = pass(unsigned{parser_.status_code});
-  parser_.method = pass(unsigned{parser_.method});
-  parser_.http_errno = pass(unsigned{parser_.http_errno});
-  parser_.upgrade = pass(unsigned{parser_.upgrade});
+  parser_.type = archive_value(unsigned{parser_.type});
+  parser_.flags = archive_value(unsigned{parser_.flags});
+  parser_.state = archive_value(unsigned{parser_.state});
+  parser_.header_state = archive_value(unsigned{parser_.header_state});
+  parser_.index = archive_value(unsigned{parser_.index});
+  parser_.uses_transfer_encoding = archive_value(unsigned{parser_.uses_transfer_encoding});
+  parser_.allow_chunked_length = archive_value(unsigned{parser_.allow_chunked_length});
+  parser_.lenient_http_headers = archive_value(unsigned{parser_.lenient_http_headers});
+  parser_.status_code = archive_value(unsigned{parser_.status_code});
+  parser_.method = archive_value(unsigned{parser_.method});
+  parser_.http_errno = archive_value(unsigned{parser_.http_errno});
+  parser_.upgrade = archive_value(unsigned{parser_.upgrade});
   archive(parser_.nread, parser_.content_length, parser_.http_major, parser_.http_minor);
   archive(head_size_, first_line_, reason_phrase_, status_line_count_, tail_, target_, headers_,
           reading_header_value_, body_, started_, head_done_, done_, keep_alive_, has_connection_close_,
@@ -43,7 +43,7 @@
 void save(Archive& archive, const RingBuffer& ring) {
   archive(ring.text());
 }
-// Throws starlinghook::MemoryError where the bytes have no room.
+// Throws starlinghook::SnapshotError if the bytes do not fit.
 template <class Archive>
 void load(Archive& archive, RingBuffer& ring) {
   std::string text;
--- a/src/http/upstream.cpp
+++ b/src/http/upstream.cpp
@@ -12,23 +12,23 @@
 using starlinghook::Outcome;
 
 Upstream::Upstream(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-                   record::Recorder& record, OnCallEnded on_end)
+                   record::Recorder& record, OnCallEnded on_call_ended)
     : io_(io),
       config_(config),
       counters_(counters),
       stray_log_(log, "upstream", config.limits.stray_log_interval),
       record_(record),
-      on_call_ended_(std::move(on_end)) {}
+      on_call_ended_(std::move(on_call_ended)) {}
 Upstream::~Upstream() = default;
 
 void Upstream::report_call_ended(const CallEnded& end) { on_call_ended_(end); }
 
 void Upstream::start(StartCall call) {
   while (const ConnectionPtr connection = pop_idle(call.host)) {
-    const UnreadInput seen = connection->check_unread_input();
-    // Those that are left have stood idle for longer still.
-    if (!connection->can_reuse(seen) || connection->idle_duration() > call.max_idle) {
-      connection->close_idle(seen);
+    const UnreadInput unread = connection->check_unread_input();
+    // The remaining ones have been idle for even longer.
+    if (!connection->can_reuse(unread) || connection->idle_duration() > call.max_idle) {
+      connection->close_idle(unread);
       continue;
     }
     active_calls_[call.stream] = connection;
@@ -54,7 +54,7 @@
   }
 }
 
-// Guards the descriptors: the connection that has been idle for longest makes way.
+// Keeps descriptors available: closes the connection that has been idle for the longest time.
 bool Upstream::ensure_connection_slot() {
   if (*connection_count_ < config_.limits.max_upstream_connections) return true;
   Connection* oldest = nullptr;
@@ -64,9 +64,9 @@
     }
   }
   if (!oldest) return false;
-  const ConnectionPtr kept = oldest->shared_from_this();
-  remove_idle(*kept);
-  kept->close(record::ConnectionEnd::made_way);
+  const ConnectionPtr evicted = oldest->shared_from_this();
+  remove_idle(*evicted);
+  evicted->close(record::ConnectionEnd::made_way);
   return true;
 }
 
@@ -76,10 +76,10 @@
   it->second->cancel(call);
 }
 
-void Upstream::hold_back(const CancelUnsentCall& call) {
+void Upstream::cancel_unsent(const CancelUnsentCall& call) {
   const auto it = active_calls_.find(call.stream);
   if (it == active_calls_.end()) return;
-  it->second->hold_back(call);
+  it->second->cancel_unsent(call);
 }
 
 void Upstream::add_idle(const ConnectionPtr& connection) {
@@ -104,7 +104,7 @@
 }
 
 std::string Upstream::save(OutgoingDescriptors& descriptors) {
-  constexpr std::uint32_t kNone = UINT32_MAX;
+  constexpr std::uint32_t kNoDescriptor = UINT32_MAX;
   return write_snapshot([&](SnapshotWriter& archive) {
     std::vector<ConnectionPtr> all;
     for (const auto& [stream, connection] : active_calls_) all.push_back(connection);
@@ -112,7 +112,7 @@
     archive(unsent_calls_, all.size());
     for (const ConnectionPtr& connection : all) {
       const int fd = connection->descriptor();
-      archive(connection->host(), fd < 0 ? kNone : descriptors.add(fd));
+      archive(connection->host(), fd < 0 ? kNoDescriptor : descriptors.add(fd));
       connection->serialize_state(archive);
     }
   });
@@ -150,15 +150,15 @@
   while (const ConnectionPtr connection = pop_idle(host)) connection->close(record::ConnectionEnd::made_way);
 }
 
-// Of a host that has not been asked yet: as the one that was asked last.
+// For a host not yet observed, assumes the behavior of the host observed last.
 bool Upstream::honors_close(HostId host) const {
   const auto known = honors_close_.find(host);
   return known == honors_close_.end() ? last_host_honors_close_ : known->second;
 }
 
-// Learnt anew from each call that asked for it.
-void Upstream::set_honors_close(HostId host, bool said) {
-  honors_close_[host] = last_host_honors_close_ = said;
+// Updated by each call that requested the close.
+void Upstream::set_honors_close(HostId host, bool honors) {
+  honors_close_[host] = last_host_honors_close_ = honors;
 }
 
 void Upstream::retire(HostId host) {
--- a/src/http/upstream.hpp
+++ b/src/http/upstream.hpp
@@ -1,4 +1,4 @@
-// Upstream requests, one at a time on a connection, and the pool of connections that they leave behind.
+// Upstream requests, one at a time per connection, and the pool of idle connections.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -22,24 +22,25 @@
  public:
   using OnCallEnded = std::function<void(const CallEnded&)>;
   Upstream(asio::io_context& io, const Config& config, Counters& counters, Log& log, record::Recorder& record,
-           OnCallEnded on_end);
+           OnCallEnded on_call_ended);
   ~Upstream();
 
-  // Each call ends once, by `on_end`, and never before this returns.
+  // Each call ends exactly once, through `on_call_ended`, and never before this returns.
   void start(StartCall call);
-  // Of a call that is not to go out: it ends as not sent, in the loop's next turn.
+  // Ends a call that is not to be sent as `not_sent`, in the loop's next turn.
   void end_unsent(StreamId stream, std::uint32_t attempt);
   void cancel(const CancelCall& call);
-  void hold_back(const CancelUnsentCall& call);
+  void cancel_unsent(const CancelUnsentCall& call);
   void close_idle(HostId host);
-  // No call goes out any more on a connection that is open to the host.
+  // No further call uses the connections currently open to the host.
   void retire(HostId host);
 
-  // The calls that are out and the idle connections, with what has been written and read on them, for another
-  // process. Between two handlers only.
+  // Serializes the calls in flight and the idle connections, with what was written and read on them, for
+  // handover to another process. Call only between two handlers.
   std::string save(OutgoingDescriptors& descriptors);
-  // Of one that has had no call: goes on with those of another process, but touches none before `resume`.
-  // Throws starlinghook::MemoryError, std::out_of_range or std::system_error; it is of no use then.
+  // Requires that no call was started: takes over another process's state, without using any of its sockets
+  // before `resume`. Throws starlinghook::SnapshotError, std::out_of_range or std::system_error; the object
+  // is unusable afterwards.
   void load(std::string_view bytes, IncomingDescriptors& descriptors);
   void resume();
 
@@ -54,10 +55,10 @@
   ConnectionPtr pop_idle(HostId host);
   void remove_idle(const Connection& connection);
   bool ensure_connection_slot();
-  // Whether the host says `Connection: close` where it is asked for the close. Only then a connection to it
-  // is used again, since its answers could not be told apart.
+  // Whether the host answers a call that requests the close with `Connection: close`. A connection is reused
+  // only if it does, since its answers could not be told apart otherwise.
   bool honors_close(HostId host) const;
-  void set_honors_close(HostId host, bool said);
+  void set_honors_close(HostId host, bool honors);
   void report_unsent();
   void report_call_ended(const CallEnded& end);
 
@@ -66,16 +67,17 @@
   Counters& counters_;
   RateLimitedLog stray_log_;
   record::Recorder& record_;
-  std::uint32_t last_connection_number_ = 0;  // numbers them in the record
+  std::uint32_t last_connection_number_ = 0;  // numbers the connections in the record
   OnCallEnded on_call_ended_;
-  std::unordered_map<StreamId, ConnectionPtr> active_calls_;  // out now
-  std::unordered_map<HostId, bool> honors_close_;             // of those that were asked
+  std::unordered_map<StreamId, ConnectionPtr> active_calls_;
+  std::unordered_map<HostId, bool> honors_close_;  // by host, as last observed
   bool last_host_honors_close_ = false;
-  std::map<HostId, std::vector<ConnectionPtr>>
-      idle_connections_;  // the most recently used last; none is empty
-  // Calls that do not go out, with their attempts; they end in the loop's next turn.
+  // By host, the most recently used connection last; no vector is empty.
+  std::map<HostId, std::vector<ConnectionPtr>> idle_connections_;
+  // Calls that are not sent, with their attempts; they end in the loop's next turn.
   std::vector<std::pair<StreamId, std::uint32_t>> unsent_calls_;
-  // Counted by the connections themselves, of which the loop may hold some for longer than the pool lives.
+  // Counted by the connections themselves, since the loop may hold some of them for longer than the pool
+  // exists.
   std::shared_ptr<std::size_t> connection_count_ = std::make_shared<std::size_t>(0);
 };
 
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -70,29 +70,29 @@
   return unread;
 }
 
-void Upstream::Connection::cancel(const CancelCall& c) {
-  if (has_call_ && call_.stream == c.stream && call_.attempt == c.attempt)
+void Upstream::Connection::cancel(const CancelCall& call) {
+  if (has_call_ && call_.stream == call.stream && call_.attempt == call.attempt)
     schedule_end(PendingEnd::cancelled);
 }
 
-void Upstream::Connection::hold_back(const CancelUnsentCall& c) {
-  if (!has_call_ || call_started_ || call_.stream != c.stream || call_.attempt != c.attempt) return;
-  schedule_end(PendingEnd::held_back);
+void Upstream::Connection::cancel_unsent(const CancelUnsentCall& call) {
+  if (!has_call_ || call_started_ || call_.stream != call.stream || call_.attempt != call.attempt) return;
+  schedule_end(PendingEnd::cancelled_unsent);
 }
 
-void Upstream::Connection::close(record::ConnectionEnd why) {
+void Upstream::Connection::close(record::ConnectionEnd reason) {
   if (!socket_.is_open()) return;
   asio::error_code ignored;
   timer_.cancel();
   socket_.close(ignored);
-  pool_.record_.note(record::Kind::host_connection, connection_number_, static_cast<std::uint16_t>(why),
+  pool_.record_.note(record::Kind::host_connection, connection_number_, static_cast<std::uint16_t>(reason),
                      {pairing_.calls(), record::ms32(steady_now() - opened_at_)}, address_);
 }
 
-void Upstream::Connection::close_idle(UnreadInput seen) {
-  close(seen == UnreadInput::bytes ? record::ConnectionEnd::stray
-        : seen == UnreadInput::end ? record::ConnectionEnd::by_host
-                                   : record::ConnectionEnd::idle);
+void Upstream::Connection::close_idle(UnreadInput unread) {
+  close(unread == UnreadInput::bytes ? record::ConnectionEnd::stray
+        : unread == UnreadInput::end ? record::ConnectionEnd::by_host
+                                     : record::ConnectionEnd::idle);
 }
 
 void Upstream::Connection::start_idle(Time idle) {
@@ -143,9 +143,9 @@
   });
 }
 
-void Upstream::Connection::schedule_end(PendingEnd due) {
+void Upstream::Connection::schedule_end(PendingEnd result) {
   if (pending_end_ != PendingEnd::none) return;
-  pending_end_ = due;
+  pending_end_ = result;
   asio::post(pool_.io_, [self = shared_from_this()] { self->end_pending_call(); });
 }
 
@@ -157,7 +157,7 @@
       return end_call(Outcome::connect_failed);
     case PendingEnd::connection_lost:
       return has_call_ ? end_connection_lost() : void();
-    case PendingEnd::held_back:
+    case PendingEnd::cancelled_unsent:
       return end_call(Outcome::not_sent);
     case PendingEnd::cancelled:
       return end_call(Outcome::cancelled);
@@ -173,13 +173,12 @@
   if (!error) socket_.non_blocking(true, error);
   if (error) return error.value();
   const int result = ::connect(socket_.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
-  return result == 0 || errno == EINPROGRESS || errno == EINTR ? 0 : errno;  // it goes on by itself
+  return result == 0 || errno == EINPROGRESS || errno == EINTR ? 0 : errno;  // it completes asynchronously
 }
 
 void Upstream::Connection::begin_connect() {
   const int error = issue_connect();
-  // Guards the host against being taken for failing where this machine was short of something. EAGAIN: of
-  // ports.
+  // A local shortage must not count as a failure of the host. EAGAIN: no local port is available.
   if (classify_socket_error(error) == SocketError::local_shortage || error == EAGAIN) return retry_connect();
   if (error != 0) return schedule_end(PendingEnd::connect_failed);
   local_shortage_ = false;
@@ -196,7 +195,7 @@
 void Upstream::Connection::await_connected() {
   socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](asio::error_code e) {
     if (!self->socket_.is_open() || !self->has_call_ || self->pending_end_ != PendingEnd::none)
-      return;  // given up
+      return;  // cancelled
     self->check_connected(e);
   });
 }
@@ -209,7 +208,8 @@
   }
   if (classify_socket_error(failure) == SocketError::local_shortage) return retry_connect();
   if (failure != 0) return end_call(Outcome::connect_failed);
-  // Guards the window in which repeats are dropped against a connection that comes up behind its end.
+  // The call must not start after the window in which the partner drops repeats, even if the connection was
+  // established late.
   if (steady_now() > start_deadline_) return end_call(Outcome::connect_failed);
   connected_ = true;
   socket_.set_option(tcp::no_delay(true), error);
@@ -224,7 +224,7 @@
   }
   if (unread == UnreadInput::bytes) {
     report_stray(record::StrayPlace::before_first_call);
-    if (!std::exchange(reconnected_, true)) return retry_connect();  // the call has not begun
+    if (!std::exchange(reconnected_, true)) return retry_connect();  // the call has not started
   }
   if (unread != UnreadInput::none) return end_call(Outcome::connect_failed, true);
   write_pending();
@@ -238,16 +238,16 @@
                        {connection_number_, requests_close_ ? 1u : 0u});
   }
   asio::error_code error;
-  SocketError sorted = SocketError::none;
-  while (!out_.empty() && (sorted == SocketError::none || sorted == SocketError::interrupted)) {
+  SocketError error_class = SocketError::none;
+  while (!out_.empty() && (error_class == SocketError::none || error_class == SocketError::interrupted)) {
     const std::string_view data = out_.data();
     out_.consume(socket_.write_some(asio::buffer(data.data(), data.size()), error));
-    sorted = classify_socket_error(error);
+    error_class = classify_socket_error(error);
   }
   call_written_ = out_.empty();
   if (call_written_) return;
-  if (sorted == SocketError::local_shortage) return retry_write();
-  if (sorted == SocketError::peer) return schedule_end(PendingEnd::connection_lost);
+  if (error_class == SocketError::local_shortage) return retry_write();
+  if (error_class == SocketError::peer) return schedule_end(PendingEnd::connection_lost);
   await_writable();
 }
 
@@ -298,21 +298,21 @@
 }
 
 void Upstream::Connection::on_idle_input() {
-  const UnreadInput seen = check_unread_input();
+  const UnreadInput unread = check_unread_input();
   pairing_.mark_unusable();
   pool_.remove_idle(*this);
-  close_idle(seen);
+  close_idle(unread);
 }
 
 void Upstream::Connection::report_stray(record::StrayPlace place, unsigned status) {
   ++pool_.counters_.strays;
   pool_.record_.note(record::Kind::stray, has_call_ ? call_.stream : 0, static_cast<std::uint16_t>(status),
                      {connection_number_, static_cast<std::uint32_t>(place)}, address_);
-  pool_.stray_log_(steady_now(), address_ + ": bytes that answer no call");
+  pool_.stray_log_(steady_now(), address_ + ": unsolicited bytes");
 }
 
-void Upstream::Connection::process_input(bool ended) {
-  // Guards against an answer that begins and does not end: it has a short time of its own.
+void Upstream::Connection::process_input(bool end_of_input) {
+  // Bounds the time for receiving the rest of an answer once it has started.
   if (!answer_started_ && !in_.empty()) {
     answer_started_ = true;
     arm_timer_at(std::min(deadline_, std::chrono::steady_clock::now() + pool_.config_.limits.answer_timeout));
@@ -321,11 +321,11 @@
     in_.consume(answer_.feed(in_.data()));
     if (answer_.done() && !matches_call()) skip_answer();
   }
-  if (ended) answer_.end_of_input();
-  if (ended && answer_.done() && !matches_call()) skip_answer();
+  if (end_of_input) answer_.end_of_input();
+  if (end_of_input && answer_.done() && !matches_call()) skip_answer();
   if (answer_.failed()) return end_unreadable();
-  if (answer_.done()) return end_answered(!ended);
-  if (ended) return end_connection_lost();
+  if (answer_.done()) return end_answered(!end_of_input);
+  if (end_of_input) return end_connection_lost();
   await_readable();
 }
 
@@ -344,8 +344,9 @@
 }
 
 bool Upstream::Connection::partial_answer_is_delivered() const {
-  const bool own = pairing_.next_answer_matches() || (answer_.head_done() && answer_.has_connection_close());
-  return call_written_ && own && answer_.first_line_has_status(200) && !answer_.has_second_status_line();
+  const bool matches =
+      pairing_.next_answer_matches() || (answer_.head_done() && answer_.has_connection_close());
+  return call_written_ && matches && answer_.first_line_has_status(200) && !answer_.has_second_status_line();
 }
 
 void Upstream::Connection::end_unreadable() {
@@ -360,36 +361,44 @@
   end_call(call_written_ ? Outcome::reset : Outcome::connect_failed, connected_);
 }
 
-void Upstream::Connection::record_close_behavior(bool says) {
-  if (requests_close_ && !retired_) pool_.set_honors_close(host_, says);
+void Upstream::Connection::record_close_behavior(bool closes) {
+  if (requests_close_ && !retired_) pool_.set_honors_close(host_, closes);
 }
 
-bool Upstream::Connection::has_conflicting_answer(const AnswerMeaning& read) const {
+bool Upstream::Connection::has_conflicting_answer(const AnswerMeaning& meaning) const {
   if (in_.empty() || answer_.has_connection_close()) return false;
   if (answer_.has_second_status_line()) return true;
-  HttpReader behind(HttpReader::Kind::response, pool_.config_.limits.max_head_size,
-                    pool_.config_.limits.max_body_size);
-  behind.feed(in_.data());
-  return behind.head_done() && !behind.failed() && interpret_answer(behind).outcome != read.outcome;
+  HttpReader following(HttpReader::Kind::response, pool_.config_.limits.max_head_size,
+                       pool_.config_.limits.max_body_size);
+  following.feed(in_.data());
+  return following.head_done() && !following.failed() &&
+         interpret_answer(following).outcome != meaning.outcome;
 }
 
-void Upstream::Connection::end_answered(bool open) {
+void Upstream::Connection::end_answered(bool still_open) {
   record_close_behavior(answer_.has_connection_close());
   if (!in_.empty()) report_stray(record::StrayPlace::behind_answer);
-  AnswerMeaning m = interpret_answer(answer_);
-  if (!m.recognized) ++pool_.counters_.unreadable_answers;
-  const bool too_early = !call_written_ && m.outcome == Outcome::delivered;
-  if (too_early || has_conflicting_answer(m)) m = AnswerMeaning{};  // it may have run
-  const bool keep = open && m.recognized && call_written_ && in_.empty() && pairing_.can_start_call() &&
-                    answer_.keep_alive() && !retired_;
-  CallEnded ended{call_.stream, call_.attempt, m.outcome,        m.ended_elsewhere, m.retry_after, m.no_slot,
-                  {},           false,         idle_before_call_};
+  AnswerMeaning meaning = interpret_answer(answer_);
+  if (!meaning.recognized) ++pool_.counters_.unreadable_answers;
+  const bool too_early = !call_written_ && meaning.outcome == Outcome::delivered;
+  if (too_early || has_conflicting_answer(meaning)) meaning = AnswerMeaning{};  // it may have run
+  const bool keep = still_open && meaning.recognized && call_written_ && in_.empty() &&
+                    pairing_.can_start_call() && answer_.keep_alive() && !retired_;
+  CallEnded ended{call_.stream,
+                  call_.attempt,
+                  meaning.outcome,
+                  meaning.ended_elsewhere,
+                  meaning.retry_after,
+                  meaning.no_slot,
+                  {},
+                  false,
+                  idle_before_call_};
   if (const auto text = answer_.header("x-load-report"))
     ended.report = parse_load_report(*text, pool_.config_.boot);
-  // Guards against a host's limit on connections being taken for one on calls: it closes at once what it
-  // has no place for, and nobody's load is in that answer.
+  // A host that limits connections closes excess ones at once. Such an answer says nothing about load, so it
+  // must not be taken for a limit on calls.
   ended.connection_only =
-      m.outcome == Outcome::full && !requests_close_ && !answer_.keep_alive() && !ended.report.present;
+      meaning.outcome == Outcome::full && !requests_close_ && !answer_.keep_alive() && !ended.report.present;
   ended.connection_closed = !keep;
   ended.close_requested = requests_close_;
   if (keep) {
--- a/src/http/upstream_connection.hpp
+++ b/src/http/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// A part of Upstream, for its own files alone: one connection to a host, with the call that is out on it.
+// Implementation detail of Upstream: one connection to a host, with the call in flight on it.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -19,9 +19,9 @@
 
 namespace fennellane {
 
-// One connection to an upstream host. While it is open it is always waited on for reading, so that its end is
-// seen at once, also between calls. No operation that is under way connects, writes or reads by itself: see
-// Downstream::Session.
+// One connection to an upstream host. While it is open there is always a pending wait for readability, so
+// that its end is noticed at once, also between calls. No pending asynchronous operation connects, writes or
+// reads by itself: see Downstream::Session.
 class Upstream::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(Upstream& pool, HostId host);
@@ -42,29 +42,32 @@
     archive(expiry, idle_since_, idle_before_call_, connected_, has_call_, retired_, pairing_, address_);
     if (Archive::is_loading::value) timer_.expires_at(expiry);
     if (!has_call_) return;
-    // All of the call but its body: that is in the ring, or gone out.
+    // Everything of the call but its body, which is in the ring buffer or already sent.
     archive(call_.stream, call_.attempt, call_.address, call_.id, call_.timeout, deadline_, start_deadline_,
             call_started_, call_written_, answer_started_, requests_close_, skipped_answers_, pending_end_,
             in_, out_);
     answer_.serialize_state(archive);
   }
   void adopt_socket(FileDescriptor fd);
-  // -1: there is none.
+  // -1 if there is none.
   int descriptor() { return socket_.is_open() ? socket_.native_handle() : -1; }
   void resume();
   void reuse(StartCall call);
 
-  // What a resting one holds now: the read that is out may not have told yet that the other side has closed,
-  // or that bytes have come. Strays are counted.
+  // Checks an idle connection's unread input directly: the pending wait may not have reported yet that the
+  // host closed the connection or sent bytes. Counts unsolicited bytes.
   UnreadInput check_unread_input();
-  bool can_reuse(UnreadInput seen) const { return seen == UnreadInput::none && pairing_.can_start_call(); }
-  void cancel(const CancelCall& c);
-  // At once, since the connection may come up before the loop's next turn; the call ends in that turn.
-  void hold_back(const CancelUnsentCall& c);
+  bool can_reuse(UnreadInput unread) const {
+    return unread == UnreadInput::none && pairing_.can_start_call();
+  }
+  void cancel(const CancelCall& call);
+  // Takes effect at once, since the connection may be established before the loop's next turn; the call ends
+  // in that turn.
+  void cancel_unsent(const CancelUnsentCall& call);
   void retire() { retired_ = true; }
-  void close(record::ConnectionEnd why);
-  // Of a resting one that can carry no other call, or whose time is over.
-  void close_idle(UnreadInput seen);
+  void close(record::ConnectionEnd reason);
+  // Closes an idle connection that cannot carry another call or has been idle for too long.
+  void close_idle(UnreadInput unread);
   void start_idle(Time idle);
 
  private:
@@ -74,17 +77,17 @@
   void arm_timer(Time limit) { arm_timer_at(std::chrono::steady_clock::now() + limit); }
   void arm_timer_at(asio::steady_timer::time_point at);
 
-  // What ends the call in the loop's next turn, never before the one who started it returns. The first such
-  // end is the one.
-  enum class PendingEnd : std::uint8_t { none, connect_failed, connection_lost, held_back, cancelled };
-  void schedule_end(PendingEnd due);
+  // How the call ends in the loop's next turn; never before the function that started it returns. The first
+  // such result wins.
+  enum class PendingEnd : std::uint8_t { none, connect_failed, connection_lost, cancelled_unsent, cancelled };
+  void schedule_end(PendingEnd result);
   void end_pending_call();
 
-  // The errno of a connect that has begun, or 0.
+  // Issues the connect and returns 0 if it has started or completed, else the errno.
   int issue_connect();
   void begin_connect();
   void retry_connect();
-  // For an operation of this call that failed for want of something here.
+  // Repeats an operation of this call that failed because of a local shortage.
   template <class Action>
   void retry_after_pause(Action action) {
     ++pool_.counters_.local_retries;
@@ -103,47 +106,49 @@
   void retry_write();
   void await_writable();
 
-  // Waits first and reads then. Guards against bytes that came behind an answer being taken off the socket
-  // while the connection is idle, unseen by closed(), and read as the answer to its next call.
+  // Waits for readability first and reads in the handler. Otherwise bytes that follow an answer could be
+  // taken off the socket while the connection is idle, unseen by check_unread_input(), and be read as the
+  // answer to the next call.
   void await_readable();
   void read_available(asio::error_code error);
 
-  // Guards against bytes that no call asked for being read as the answer to the next one.
+  // Closes an idle connection that received input, so that unsolicited bytes are not read as the answer to
+  // the next call.
   void on_idle_input();
-  // `status`: of a whole answer; 0 of bytes that were not read as one.
+  // `status`: of a complete answer; 0 for bytes that did not parse as one.
   void report_stray(record::StrayPlace place, unsigned status = 0);
-  void process_input(bool ended);
+  void process_input(bool end_of_input);
 
   bool is_interim() const { return answer_.status() >= 100 && answer_.status() < 200; }
-  // Of a whole answer.
+  // Requires a complete answer.
   bool matches_call();
-  // An interim answer, or one that is not this call's: the call's own is still to come, and there may be only
-  // so many before it.
+  // Skips an interim answer, or one that does not belong to this call: the call's own is still to come. The
+  // number of skipped answers is limited.
   void skip_answer();
 
-  // Of an answer that is not there to its end: whether it is the call's own and no other's with it, and its
-  // first line tells that the message is delivered.
+  // For an incomplete answer: whether it belongs to this call, is not mixed with another answer, and its
+  // status line says that the message was delivered.
   bool partial_answer_is_delivered() const;
 
-  // An answer that cannot be read to its end. Where its first line told that the message is delivered, that
-  // is true; any other tells nothing, so the call may have run, whatever its head said.
+  // Ends the call after an unreadable answer. If its status line said that the message was delivered, that
+  // counts; any other status is not relied on, so the call may have run.
   void end_unreadable();
 
-  // The connection ended in the middle. Before the call's last byte was written it cannot have run.
+  // Ends the call after the connection was lost. If the call's last byte was not written, it cannot have run.
   void end_connection_lost();
 
-  // Nothing is kept of a host that is gone.
-  void record_close_behavior(bool says);
+  // Records nothing for a host that was removed.
+  void record_close_behavior(bool closes);
 
-  // Whether another answer stands in the one that was read, or right behind it, and means something else.
-  // Either may be the call's, unless the first is marked as such.
-  bool has_conflicting_answer(const AnswerMeaning& read) const;
+  // Whether the received answer contains, or is followed by, another answer with a different meaning. Either
+  // may belong to the call, unless the first says `Connection: close`.
+  bool has_conflicting_answer(const AnswerMeaning& meaning) const;
 
-  // By its own answer. Before its last byte was written the call cannot have run, so a 200 is no answer to
-  // it.
-  void end_answered(bool open);
+  // Ends the call by its own answer. Before its last byte is written the call cannot have run, so a 200 does
+  // not count then.
+  void end_answered(bool still_open);
 
-  // It could not even begin, and the host has nothing to do with it.
+  // Ends a call that could not start because of a local shortage, for which the host is not responsible.
   void end_local_shortage();
   void end_call(starlinghook::Outcome outcome, bool connection_only = false);
   void release_call();
@@ -154,7 +159,7 @@
   const HostId host_;
   const std::uint32_t connection_number_;
   const Time opened_at_;
-  std::string address_;  // the host's
+  std::string address_;  // of the host
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   RingBuffer in_;
@@ -163,21 +168,21 @@
   AnswerPairing pairing_;
   StartCall call_;
   asio::steady_timer::time_point deadline_;
-  Time start_deadline_ = Time::max();  // the call's first byte
+  Time start_deadline_ = Time::max();  // for writing the call's first byte
   Time idle_since_{};
-  Time idle_before_call_{};  // before the call; 0 = it came up for it
-  bool connected_ = false;   // it did come up
+  Time idle_before_call_{};  // 0 if the connection was opened for it
+  bool connected_ = false;
   bool has_call_ = false;
   PendingEnd pending_end_ = PendingEnd::none;
   bool retired_ = false;       // closes after its call
-  bool call_started_ = false;  // a byte of the call may be on its way
+  bool call_started_ = false;  // a byte of the call may have been sent
   bool call_written_ = false;
-  bool answer_started_ = false;   // a byte of the answer has come
-  bool local_shortage_ = false;   // there is no connection yet for want of something here
-  bool requests_close_ = false;   // of the connection, behind the call
-  bool reconnected_ = false;      // for a connection that had bytes on it before the call
-  bool answer_matched_ = false;   // the whole answer that stands in `answer_` is the call's
-  unsigned skipped_answers_ = 0;  // answers that were not the call's
+  bool answer_started_ = false;   // a byte of the answer has arrived
+  bool local_shortage_ = false;   // not connected yet because of a local shortage
+  bool requests_close_ = false;   // the call asks the host to close the connection afterwards
+  bool reconnected_ = false;      // because unsolicited bytes preceded the call
+  bool answer_matched_ = false;   // the complete answer in `answer_` belongs to the call
+  unsigned skipped_answers_ = 0;  // answers that did not belong to the call
 };
 
 }  // namespace fennellane
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -141,7 +141,7 @@
 }
 
 void Relay::execute(CancelCall& e) { upstream_.cancel(e); }
-void Relay::execute(CancelUnsentCall& e) { upstream_.hold_back(e); }
+void Relay::execute(CancelUnsentCall& e) { upstream_.cancel_unsent(e); }
 void Relay::execute(CloseIdleConnections& e) { upstream_.close_idle(e.host); }
 void Relay::execute(RetireHost& e) { upstream_.retire(e.host); }
 void Relay::execute(PostNotice& e) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,5 @@
-// Moments in which something ends while something is still owed, each forced over loopback sockets. The table
-// in docs/crossings.md names what is owed in each.
+// Races between an end and pending work, each forced over loopback sockets. The table in docs/crossings.md
+// lists what must still happen in each.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace fennellane::test {
 namespace {
 
-std::string with(std::string text, const std::string& part, const std::string& other) {
+std::string replaced(std::string text, const std::string& part, const std::string& other) {
   return text.replace(text.find(part), part.size(), other);
 }
 std::string request_to(int destination, const std::string& id, const std::string& message_class = "pay") {
@@ -24,7 +24,7 @@
   return "{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}";
 }
 
-// What the client's or the platform's side of one connection hears until it ends, or for `limit`.
+// Reads everything until the peer closes the connection.
 std::string read_to_end(tcp::socket& socket) {
   std::string all;
   char piece[512];
@@ -36,14 +36,13 @@
   }
 }
 
-// A host writes 200 in the very moment in which the message's time is up: nobody can tell whether the
-// client's time was over by then, so the platform is told as well. Without that the message would have no
-// end.
-TEST(Crossings, AnAnswerWrittenAsTheTimeEndsLeavesNoMessageWithoutItsEnd) {
+// The host answers 200 just as the message's time ends. It is unknown whether the client's time was over by
+// then, so the platform is notified as well; otherwise the message might have no end.
+TEST(Crossings, AnswerWrittenAsTheTimeEndsLeavesNoMessageWithoutAnEnd) {
   constexpr int kMessages = 6;
-  constexpr milliseconds kBudget{700}, kBefore{8};
+  constexpr milliseconds kBudget{700}, kAnswerLead{8};
   Server host([&](const Request&) {
-    std::this_thread::sleep_for(kBudget - kBefore);
+    std::this_thread::sleep_for(kBudget - kAnswerLead);
     return answer("200 OK");
   });
   std::vector<HostLine> hosts;
@@ -53,7 +52,7 @@
   relay.start();
   for (int i = 0; i < kMessages; ++i) {
     const std::string request = request_to(7 + i, "late" + std::to_string(i));
-    ASSERT_EQ(relay.ask(with(request, "X-Budget-Ms: 20000", "X-Budget-Ms: 700")), 202u);
+    ASSERT_EQ(relay.ask(replaced(request, "X-Budget-Ms: 20000", "X-Budget-Ms: 700")), 202u);
   }
   for (int i = 0; i < kMessages; ++i) {
     const std::string id = "late" + std::to_string(i);
@@ -62,37 +61,36 @@
   }
 }
 
-// The connection that notices go over has fallen silent: the message's end is told over another one, before
-// it is overdue.
-TEST(Crossings, ANoticeOnASilentConnectionGoesOnceMoreBeforeItIsOverdue) {
-  std::atomic<int> asked = 0;
+// The connection used for notices hangs: the notice is sent over another one before it is overdue.
+TEST(Crossings, NoticeOnASilentConnectionIsSentAgainBeforeItIsOverdue) {
+  std::atomic<int> requests = 0;
   std::atomic<std::chrono::steady_clock::rep> first = 0, second = 0;
   const auto now = [] { return std::chrono::steady_clock::now().time_since_epoch().count(); };
-  Server silent_once([&](const Request& r) {
+  Server hangs_once([&](const Request& r) {
     if (r.target != "/v1/notices") return std::string();
-    if (asked++ == 0) {
+    if (requests++ == 0) {
       first = now();
       return std::string();
     }
-    if (asked == 2) second = now();
+    if (requests == 2) second = now();
     return answer("204 No Content");
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
-  RelayProgram relay(silent_once.address(), parts);
+  RelayProgram relay(hangs_once.address(), parts);
   relay.start();
-  ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
+  ASSERT_EQ(relay.ask(replaced(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   ASSERT_TRUE(happens([&] { return second != 0; })) << relay.log();
-  const std::chrono::steady_clock::duration between(second - first);
-  EXPECT_LT(between, milliseconds(1500));  // two seconds before it was mended
+  const std::chrono::steady_clock::duration delay(second - first);
+  EXPECT_LT(delay, milliseconds(1500));  // it took two seconds before the fix
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; })) << relay.log();
 }
 
-// A platform that refuses for a while, or whose refusals hit one batch after another: it is asked again
-// before what it is to be told is overdue, however often it has refused.
-TEST(Crossings, ARefusedNoticeGoesOnceMoreBeforeItIsOverdue) {
+// The platform rejects notices for a while, or several batches in a row: it is tried again before the notice
+// is overdue, however often it has rejected.
+TEST(Crossings, RejectedNoticeIsSentAgainBeforeItIsOverdue) {
   using Clock = std::chrono::steady_clock;
-  constexpr milliseconds kOverdue{300};  // behind the message's time, by the protocol
+  constexpr milliseconds kOverdue{300};  // after the message's time, by the protocol
   constexpr std::size_t kTries = 9;
   std::mutex mutex;
   std::vector<Clock::time_point> tries;
@@ -106,20 +104,21 @@
   parts.known = {{"s-1", refusing_address(), 7}};
   RelayProgram relay(refusing.address(), parts);
   relay.start();
-  ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
+  ASSERT_EQ(relay.ask(replaced(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   ASSERT_TRUE(happens([&] {
     const std::scoped_lock lock(mutex);
     return tries.size() >= kTries;
   })) << relay.log();
   std::vector<Clock::duration> gaps;
   for (std::size_t i = 1; i < kTries; ++i) gaps.push_back(tries[i] - tries[i - 1]);
-  // The later half, when pauses have grown; its median, so that one late turn of the machine is no failure.
+  // The median of the later half, when the pauses have grown, so that one scheduling delay does not fail the
+  // test.
   std::sort(gaps.begin() + kTries / 2, gaps.end());
   EXPECT_LT(gaps[kTries * 3 / 4], kOverdue);
 }
 
-// A platform that is slow with its answers, not silent, is waited for in the end.
-TEST(Crossings, ASlowPlatformIsWaitedForInTheEnd) {
+// A platform that answers slowly is eventually given enough time.
+TEST(Crossings, SlowPlatformIsGivenEnoughTime) {
   Server slow([&](const Request& r) {
     if (r.target != "/v1/notices") return std::string();
     std::this_thread::sleep_for(milliseconds(450));
@@ -129,25 +128,25 @@
   parts.known = {{"s-1", refusing_address(), 7}};
   RelayProgram relay(slow.address(), parts);
   relay.start();
-  ASSERT_EQ(relay.ask(with(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
+  ASSERT_EQ(relay.ask(replaced(request_to(7, "a1"), "X-Budget-Ms: 20000", "X-Budget-Ms: 300")), 202u);
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; })) << relay.log();
 }
 
-// Discovery that does not serve, and does so from a moment just behind one of the relay's tries.
+// A discovery that is down, and comes back right after one of the relay's attempts.
 class ReturningDiscovery {
  public:
-  // What it does with a request while it is down: no answer at all, or kReset.
+  // `while_down`: its reaction to a request while it is down, either no answer at all or kReset.
   explicit ReturningDiscovery(std::string while_down)
       : while_down_(std::move(while_down)), server_([this](const Request& r) { return handle(r); }) {}
   std::string address() const { return server_.address(); }
 
-  // How long it takes the relay to be there again, after so many tries in vain.
-  milliseconds time_to_return(int tries, const RelayProgram& relay) {
+  // The time until the relay is connected again, after this many failed attempts.
+  milliseconds time_to_reconnect(int tries, const RelayProgram& relay) {
     EXPECT_TRUE(happens([&] { return tries_ >= tries; }, seconds(120))) << relay.log();
-    const auto up = std::chrono::steady_clock::now();
+    const auto up_since = std::chrono::steady_clock::now();
     down_ = false;
     EXPECT_TRUE(happens([&] { return watched_.load(); })) << relay.log();
-    return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - up);
+    return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - up_since);
   }
 
  private:
@@ -165,35 +164,36 @@
   Server server_;
 };
 
-// The pause between two tries is at its longest when discovery comes back. A change counts as told 6 s after
-// it could be reached, whatever call failed before.
+// The pause between two attempts is at its longest when discovery comes back. A change must be known 6 s
+// after discovery became reachable, whatever call failed before.
 TEST(Crossings, DiscoveryIsReachedSoonAfterALongOutage) {
   ReturningDiscovery discovery(kReset);
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
   RelayProgram relay(discovery.address(), parts);
   relay.start();
-  EXPECT_LT(discovery.time_to_return(8, relay), seconds(6));
+  EXPECT_LT(discovery.time_to_reconnect(8, relay), seconds(6));
 }
 
-// The same where it accepts and says nothing, so that a step begun in vain goes on behind its return.
-TEST(Crossings, DiscoveryIsReachedSoonAfterItHasAcceptedAndSaidNothing) {
+// Same, with a discovery that accepts connections but does not answer, so that a pending step continues after
+// its return.
+TEST(Crossings, DiscoveryIsReachedSoonAfterAcceptingWithoutAnswering) {
   ReturningDiscovery discovery("");
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
   RelayProgram relay(discovery.address(), parts);
   relay.start();
-  EXPECT_LT(discovery.time_to_return(6, relay), seconds(6));
+  EXPECT_LT(discovery.time_to_reconnect(6, relay), seconds(6));
 }
 
-// A watch that has begun falls silent, its connection open. What it misses counts as told 6 s later, so
-// another one is open by then.
-TEST(Crossings, AWatchThatFallsSilentIsOpenedAnew) {
+// An open watch falls silent. A change that it misses must be known 6 s later, so another watch has to be
+// open by then.
+TEST(Crossings, SilentWatchIsReopened) {
   std::atomic<int> watches = 0;
   Server discovery([&](const Request& r) {
     if (r.target.find("watch=1") == std::string::npos) return answer("200 OK", list_json({}));
     ++watches;
-    return std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");  // one beat
+    return std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");  // one heartbeat
   });
   ConfigParts parts;
   parts.known = {{"s-1", refusing_address(), 7}};
@@ -205,8 +205,9 @@
   EXPECT_LT(std::chrono::steady_clock::now() - silent, seconds(6));
 }
 
-// A watch brings a whole list instead of a change, and indented, over many lines; half of one at first.
-TEST(Crossings, AWholeListThatIsIndentedIsTakenFromAWatch) {
+// A watch sends a pretty-printed full list that spans many lines instead of a change; the first time only
+// half of it.
+TEST(Crossings, PrettyPrintedFullListIsReadFromAWatch) {
   Server host([](const Request&) { return answer("200 OK"); });
   std::string list = list_json({{"s-2", host.address(), 7}}, 2);
   for (std::size_t at = 1; (at = list.find_first_of("{,[", at)) != std::string::npos; at += 4)
@@ -222,9 +223,9 @@
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; })) << relay.log();
 }
 
-// Idle clients hold every descriptor that clients may, and discovery is down; what discovery, calls and
-// notices need is kept for them.
-TEST(Crossings, DescriptorsFilledByIdleClientsLeaveDiscoveryAndCallsTheirs) {
+// Idle clients use up all descriptors available to clients while discovery is down; descriptors for
+// discovery, calls and notices are reserved.
+TEST(Crossings, IdleClientsLeaveDescriptorsForDiscoveryAndCalls) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}, {"s-2", refusing_address(), 8}});
   ConfigParts parts;
@@ -240,36 +241,36 @@
   ASSERT_TRUE(happens([&] { return relay.ask(request_to(7, "a1")) == 202u; })) << relay.log();
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; })) << relay.log();
   ASSERT_TRUE(happens([&] {
-    return relay.ask(with(request_to(8, "a2"), "X-Budget-Ms: 20000", "X-Budget-Ms: 500")) == 202u;
+    return relay.ask(replaced(request_to(8, "a2"), "X-Budget-Ms: 20000", "X-Budget-Ms: 500")) == 202u;
   }));
   EXPECT_TRUE(happens([&] { return platform.noticed("\"a2\""); })) << relay.log();
 }
 
-// A client rests until the relay ends its connection, and writes its request in that moment: behind the
-// shutdown nothing is taken on and nothing sent.
-TEST(Crossings, ARequestThatComesBehindTheShutdownIsLeftToItsClient) {
+// An idle client writes a request just as the relay shuts its connection down: nothing is accepted or sent
+// after the shutdown.
+TEST(Crossings, RequestAfterTheShutdownIsNotAccepted) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
   RelayProgram relay(platform.address());
   relay.start();
   asio::io_context io;
-  tcp::socket resting = relay.connected(io);
-  asio::write(resting, asio::buffer(request_text("before")));
+  tcp::socket idle = relay.connected(io);
+  asio::write(idle, asio::buffer(request_text("before")));
   char piece[512];
-  ASSERT_GT(resting.read_some(asio::buffer(piece)), 0u);
+  ASSERT_GT(idle.read_some(asio::buffer(piece)), 0u);
   relay.signal(SIGTERM);
-  EXPECT_EQ(read_to_end(resting), "");  // a half-close: what is written now is read, and dropped
+  EXPECT_EQ(read_to_end(idle), "");  // half-closed: what is written from now on is read and discarded
   asio::error_code error;
-  asio::write(resting, asio::buffer(request_text("behind")), error);
+  asio::write(idle, asio::buffer(request_text("after")), error);
   EXPECT_EQ(relay.end(SIGTERM), 0);
   EXPECT_EQ(host.count("before"), 1u);
-  EXPECT_EQ(host.count("behind"), 0u);
+  EXPECT_EQ(host.count("after"), 0u);
   relay.start();
   EXPECT_EQ(relay.counter("restored"), 0u);
 }
 
-// Half a request when the relay is told to end: its other half comes in time, and it is answered.
-TEST(Crossings, ARequestThatIsHalfReadAtSigtermIsAnswered) {
+// A request is half read at SIGTERM: its other half arrives in time and it is answered.
+TEST(Crossings, RequestHalfReadAtSigtermIsAnswered) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
   RelayProgram relay(platform.address());
@@ -287,9 +288,9 @@
   EXPECT_EQ(relay.end(SIGTERM), 0);
 }
 
-// A malformed request with much behind it: the answer is read, although the connection closes over bytes that
-// nobody wanted.
-TEST(Crossings, AnAnswerSurvivesTheCloseOverUnreadBytes) {
+// A malformed request followed by many bytes: the answer is received although the connection closes over
+// unread bytes.
+TEST(Crossings, AnswerSurvivesTheCloseOverUnreadBytes) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address(), 7}});
   RelayProgram relay(platform.address());
@@ -303,8 +304,8 @@
   }
 }
 
-// A listener whose queue is full, so that the next connection comes up only when the client's system tries
-// again, a second later.
+// A listener with a full queue: the next connection is established only when the client's system retries, one
+// second later.
 class LateListener {
  public:
   LateListener() : acceptor_(io_, tcp::v4()), first_(io_) {
@@ -313,9 +314,9 @@
     first_.connect(acceptor_.local_endpoint());  // fills the queue
   }
   Address address() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
-  void make_room() { acceptor_.accept(); }
-  // What has come on the connections that are there, without waiting.
-  std::string heard() {
+  void accept_one() { acceptor_.accept(); }
+  // Accepts the pending connections and returns the bytes received on them, without waiting.
+  std::string received_bytes() {
     acceptor_.non_blocking(true);
     std::string all;
     asio::error_code error;
@@ -335,8 +336,9 @@
   tcp::socket first_;
 };
 
-// The window in which a repeat is dropped ends while the connection for it comes up: nothing is sent over it.
-TEST(Crossings, ARepeatIsNotSentOverAConnectionThatComesUpBehindItsWindow) {
+// The window in which the partner drops repeats ends while the connection is being established: nothing is
+// sent over it.
+TEST(Crossings, RepeatIsNotSentOverAConnectionEstablishedAfterItsWindow) {
   for (const Time window : {Time(milliseconds(300)), Time::max()}) {
     LateListener host;
     ConfigParts parts;
@@ -357,9 +359,9 @@
     call.begin_within = window;
     upstream.start(std::move(call));
     io.run_for(milliseconds(100));
-    host.make_room();
-    io.run_for(milliseconds(2500));  // the connection would be up after one second
-    const bool sent = host.heard().find("again") != std::string::npos;
+    host.accept_one();
+    io.run_for(milliseconds(2500));  // the connection would be established after one second
+    const bool sent = host.received_bytes().find("again") != std::string::npos;
     EXPECT_EQ(sent, window == Time::max());
     EXPECT_EQ(ended.has_value(), window != Time::max());
     if (ended) {
@@ -368,8 +370,8 @@
   }
 }
 
-// Every message that a kill found taken on is tried by the next process, whatever stood before it.
-TEST(Crossings, WhatARestartFindsUntriedIsTried) {
+// After a kill, the next process tries every accepted message, whatever was queued before it.
+TEST(Crossings, UntriedMessagesAreTriedAfterARestart) {
   constexpr int kMessages = 12;
   std::atomic<bool> serves = false;
   Server host([&](const Request&) { return serves ? answer("200 OK") : std::string(); });
@@ -377,7 +379,8 @@
   RelayProgram relay(platform.address());
   relay.start();
   for (int i = 0; i < kMessages; ++i) ASSERT_EQ(relay.ask(request_to(7, "m" + std::to_string(i))), 202u);
-  ASSERT_TRUE(happens([&] { return host.requests().size() == 1; }));  // the window begins at one call
+  // The concurrency window starts at one call.
+  ASSERT_TRUE(happens([&] { return host.requests().size() == 1; }));
   EXPECT_EQ(relay.end(SIGKILL), -SIGKILL);
   ASSERT_LT(host.requests().size(), static_cast<std::size_t>(kMessages));
   const std::vector<Request> tried_before = host.requests();
--- a/tests/net_fixture.hpp
+++ b/tests/net_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the relay share: a configuration, and random cuts from fixed seeds.
+// Shared by the relay's tests: a configuration, and random splits from fixed seeds.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,15 @@
 inline std::vector<std::string_view> split_at_random(std::string_view text, std::mt19937& random) {
   std::vector<std::string_view> pieces;
   while (!text.empty()) {
-    const std::size_t most = random() % 4 == 0 ? text.size() : 12;
-    const std::size_t n = std::min<std::size_t>(text.size(), 1 + random() % most);
+    const std::size_t max_size = random() % 4 == 0 ? text.size() : 12;
+    const std::size_t n = std::min<std::size_t>(text.size(), 1 + random() % max_size);
     pieces.push_back(text.substr(0, n));
     text.remove_prefix(n);
   }
   return pieces;
 }
 
-// A valid text with some bytes changed, or bytes that are nothing.
+// A valid text, or one of spaces, with some bytes changed.
 inline std::string corrupted_copy(std::string text, std::mt19937& random) {
   if (random() % 3 == 0) text.assign(random() % 400, ' ');
   const std::size_t changes = text.empty() ? 0 : 1 + random() % (text.size() < 20 ? 4 : text.size() / 10);
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -1,5 +1,5 @@
-// Everything that reads what the network brings: random cuts of valid messages give the same as the whole,
-// and random garbage neither crashes nor throws nor grows without bound. The seeds are fixed.
+// Parsers of network input: valid messages split at random places parse like the unsplit ones, and random
+// garbage neither crashes nor throws nor grows without bound. The seeds are fixed.
 #include <gtest/gtest.h>
 
 #include "answer_meaning.hpp"
@@ -17,24 +17,24 @@
 TEST(RingBuffer, KeepsBytesInOrderAcrossItsEnd) {
   std::mt19937 random(1);
   RingBuffer ring(37);
-  std::string in, out;
+  std::string written, read;
   for (int i = 0; i < 3000; ++i) {
     const std::string piece(random() % 20, static_cast<char>('a' + i % 26));
     const bool fits = piece.size() <= ring.room();
     EXPECT_EQ(ring.append(piece), fits);
-    if (fits) in += piece;
+    if (fits) written += piece;
     const std::size_t n = std::min<std::size_t>(ring.data().size(), random() % 25);
-    out += ring.data().substr(0, n);
+    read += ring.data().substr(0, n);
     ring.consume(n);
   }
   while (!ring.empty()) {
-    out += ring.data();
+    read += ring.data();
     ring.consume(ring.data().size());
   }
-  EXPECT_EQ(in, out);
+  EXPECT_EQ(written, read);
 }
 
-TEST(HttpReader, ReadsPipelinedRequestsFromAnyCuts) {
+TEST(HttpReader, ReadsPipelinedRequestsSplitAnywhere) {
   std::string text;
   std::vector<std::string> bodies;
   for (int i = 0; i < 5; ++i) {
@@ -44,24 +44,24 @@
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     HttpReader reader(Kind::request, 4096, 65536);
-    std::vector<std::string> ids, got;
+    std::vector<std::string> ids, bodies_read;
     for (std::string_view piece : split_at_random(text, random)) {
       while (!piece.empty()) {
         piece.remove_prefix(reader.feed(piece));
         ASSERT_FALSE(reader.failed());
         if (!reader.done()) continue;
         ids.emplace_back(*reader.header("x-call-id"));
-        got.push_back(reader.take_body());
+        bodies_read.push_back(reader.take_body());
         EXPECT_TRUE(reader.keep_alive());
         reader.reset();
       }
     }
     EXPECT_EQ(ids, (std::vector<std::string>{"id0", "id1", "id2", "id3", "id4"}));
-    EXPECT_EQ(got, bodies);
+    EXPECT_EQ(bodies_read, bodies);
   }
 }
 
-TEST(HttpReader, ReadsChunkedAnswersFromAnyCuts) {
+TEST(HttpReader, ReadsChunkedAnswersSplitAnywhere) {
   const std::string text =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
       "chunked\r\n\r\n5\r\nhello\r\n1\r\n\n\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n";
@@ -78,8 +78,8 @@
   }
 }
 
-// Guards against a second message hidden behind a first one that two readers would end in different places.
-TEST(HttpReader, RefusesWhatCannotBeFramedForSure) {
+// Two parsers that place the end of a message differently could hide a second message behind it.
+TEST(HttpReader, RejectsAmbiguousFraming) {
   for (const char* framing : {"Content-Length: 5\r\nTransfer-Encoding: chunked",
                               "Transfer-Encoding: chunked\r\nContent-Length: 5",
                               "Transfer-Encoding: gzip, chunked",
@@ -110,7 +110,7 @@
       std::string text = start + framing + "\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
       while (!text.empty() && !reader.done() && !reader.failed()) text.erase(0, reader.feed(text));
       EXPECT_TRUE(reader.failed()) << framing;
-      EXPECT_EQ(reader.feed("POST /note HTTP/1.1\r\n\r\n"), 0u);  // nothing behind it is read
+      EXPECT_EQ(reader.feed("POST /note HTTP/1.1\r\n\r\n"), 0u);  // nothing after it is parsed
     }
   }
   HttpReader reader(Kind::request, 4096, 65536);
@@ -122,9 +122,9 @@
   EXPECT_EQ(reader.take_body(), "hello");
 }
 
-// What a first line tells stands, whatever comes behind it and in whatever pieces it comes.
-TEST(HttpReader, KnowsTheFirstLineOfAnAnswerThatCannotBeRead) {
-  for (const auto& [text, says] : std::vector<std::pair<std::string, bool>>{
+// The status line is available whatever follows it and however it is split.
+TEST(HttpReader, ReportsTheStatusLineOfAnUnreadableAnswer) {
+  for (const auto& [text, has_status_200] : std::vector<std::pair<std::string, bool>>{
            {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", true},
            {"HTTP/1.1 200 OK\r\n\x01\x02\x03", true},
            {"HTTP/1.1 200\r\n: \r\n", true},
@@ -138,14 +138,14 @@
       HttpReader reader(Kind::response, 4096, 65536);
       for (std::string_view piece : split_at_random(text, random)) reader.feed(piece);
       EXPECT_FALSE(reader.done()) << text;
-      EXPECT_EQ(reader.first_line_has_status(200), says) << text;
+      EXPECT_EQ(reader.first_line_has_status(200), has_status_200) << text;
       EXPECT_FALSE(reader.first_line_has_status(500)) << text;
     }
   }
 }
 
-// Guards the descriptors and the memory of the smallest machine, whatever the slots.
-TEST(Limits, FitTheirMachine) {
+// Guards against exceeding the descriptors and memory of the smallest machine, whatever the number of slots.
+TEST(Limits, FitTheMachine) {
   for (const ResourceLimits& a : {ResourceLimits{256, 32, 3}, ResourceLimits{384, 48, 3},
                                   ResourceLimits{1024, 192, 3}, ResourceLimits{64, 8, 1}}) {
     for (std::size_t slots : {1u, 40u, 400u}) {
@@ -154,7 +154,7 @@
                 std::max<std::size_t>(a.sockets, 40));
       EXPECT_LE(l.max_downstream_connections * 96 * 1024, a.memory_mb * 1024 * 1024 / 2 + 4 * 96 * 1024);
       if (a.sockets >= 256) {
-        EXPECT_GT(l.max_downstream_connections, a.sockets / 3);  // the usual clients' part
+        EXPECT_GT(l.max_downstream_connections, a.sockets / 3);  // the share for ordinary clients
         EXPECT_GE(l.max_upstream_connections, std::min<std::size_t>(slots, 40));
       }
       EXPECT_GT(l.max_journal_file, 100'000u);
@@ -162,10 +162,10 @@
   }
 }
 
-TEST(HttpReader, HoldsItsBounds) {
+TEST(HttpReader, EnforcesItsSizeLimits) {
   HttpReader reader(Kind::request, 300, 10);
   reader.feed(request_text("a1", std::string(11, 'x')));
-  EXPECT_EQ(reader.error_status(), 413u);  // by its length, before a byte of the body
+  EXPECT_EQ(reader.error_status(), 413u);  // by its length, before any body byte
   reader.reset();
   reader.feed("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n8\r\n12345678\r\n");
   EXPECT_EQ(reader.error_status(), 413u);
@@ -174,12 +174,12 @@
   EXPECT_EQ(reader.error_status(), 431u);
   reader.reset();
   std::string many = "GET / HTTP/1.1\r\n";
-  for (int i = 0; i < 100; ++i) many += "a: \r\n";  // empty lines cost too
+  for (int i = 0; i < 100; ++i) many += "a: \r\n";  // empty lines count as well
   reader.feed(many);
   EXPECT_EQ(reader.error_status(), 431u);
 }
 
-TEST(HttpReader, StandsGarbage) {
+TEST(HttpReader, SurvivesGarbage) {
   for (unsigned seed = 0; seed < 5000; ++seed) {
     std::mt19937 random(seed);
     const bool request = seed % 2 == 0;
@@ -199,20 +199,20 @@
   }
 }
 
-unsigned refused(const std::string& text, const Config& config) {
+unsigned rejection_status(const std::string& text, const Config& config) {
   HttpReader reader(Kind::request, 4096, 65536);
   reader.feed(text);
   if (!reader.done()) return reader.error_status();
-  const auto offer = parse_message_request(reader, config);
-  const unsigned* status = std::get_if<unsigned>(&offer);
+  const auto parsed = parse_message_request(reader, config);
+  const unsigned* status = std::get_if<unsigned>(&parsed);
   return status ? *status : 0;
 }
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
 
-// A class whose repeats the partner drops by their key cannot do without one; any other may have one.
-TEST(Offer, HasItsIdempotencyKeyWhereTheClassIsKeyed) {
+// A class whose repeats the partner drops by key requires a key; for any other class it is optional.
+TEST(MessageRequest, RequiresAnIdempotencyKeyIfTheClassIsKeyed) {
   std::string json = config_json();
   const std::string free = R"("effect":"free")";
   json.replace(json.find(free), free.size(), R"("effect":"guarded","key_scope":"all","window_us":7500000)");
@@ -225,8 +225,8 @@
     return parse_message_request(reader, config);
   };
   const auto status = [&](const std::string& headers) {
-    const auto offer = read("note", headers);
-    return std::holds_alternative<unsigned>(offer) ? std::get<unsigned>(offer) : 0;
+    const auto parsed = read("note", headers);
+    return std::holds_alternative<unsigned>(parsed) ? std::get<unsigned>(parsed) : 0;
   };
   EXPECT_EQ(std::get<MessageSubmitted>(read("note", "Idempotency-Key: 5c0f-6e1a\r\n")).idempotency_key,
             "5c0f-6e1a");
@@ -240,19 +240,19 @@
   EXPECT_EQ(status("Idempotency-Key: " + std::string(256, 'k') + "\r\n"), 400u);
 }
 
-TEST(Offer, IsReadWholeOrRefusedByItsFault) {
+TEST(MessageRequest, IsParsedOrRejectedWithTheStatusOfItsError) {
   const Config config = parse_config(config_json());
   HttpReader reader(Kind::request, 4096, 65536);
   reader.feed(request_text("9b1f", "body", "pay"));
-  auto offer = std::get<MessageSubmitted>(parse_message_request(reader, config));
-  EXPECT_EQ(offer.id, "9b1f");
-  EXPECT_EQ(*offer.body, "body");
-  EXPECT_EQ(offer.message_class, 1u);
-  EXPECT_EQ(offer.tenant, 1u);
-  EXPECT_EQ(offer.destination, 7u);
-  EXPECT_EQ(offer.time_left, std::chrono::seconds(20));
+  auto message = std::get<MessageSubmitted>(parse_message_request(reader, config));
+  EXPECT_EQ(message.id, "9b1f");
+  EXPECT_EQ(*message.body, "body");
+  EXPECT_EQ(message.message_class, 1u);
+  EXPECT_EQ(message.tenant, 1u);
+  EXPECT_EQ(message.destination, 7u);
+  EXPECT_EQ(message.time_left, std::chrono::seconds(20));
 
-  const std::string good = request_text();
+  const std::string valid = request_text();
   struct Case {
     std::string from, to;
     unsigned status;
@@ -266,16 +266,16 @@
         Case{"Ms: 20000", "Ms: 2e4", 400}, Case{"Ms: 20000", "Ms: 99999999999999999999", 400},
         Case{"dest=7", "dest=x", 400}, Case{"dest=7", "7", 400}, Case{"dest=7", "dest=99999", 400},
         Case{"HTTP/1.1", "HTTP/x.1", 400}}) {
-    EXPECT_EQ(refused(replaced(good, c.from, c.to), config), c.status) << c.from << " -> " << c.to;
+    EXPECT_EQ(rejection_status(replaced(valid, c.from, c.to), config), c.status) << c.from << " -> " << c.to;
   }
-  EXPECT_EQ(refused(replaced(good, "dest=7", "a=1; dest=7"), config), 0u);
+  EXPECT_EQ(rejection_status(replaced(valid, "dest=7", "a=1; dest=7"), config), 0u);
 }
 
-TEST(Answers, MeanWhatTheProtocolsTableSays) {
+TEST(AnswerMeaning, FollowsTheProtocolsTable) {
   struct Case {
     std::string head;
     Outcome outcome;
-    bool over, no_slot;
+    bool ended_elsewhere, no_slot;
     int wait_ms;
   };
   for (const Case& c :
@@ -292,26 +292,26 @@
     ASSERT_TRUE(reader.done()) << c.head;
     const AnswerMeaning m = interpret_answer(reader);
     EXPECT_EQ(m.outcome, c.outcome) << c.head;
-    EXPECT_EQ(m.ended_elsewhere, c.over) << c.head;
+    EXPECT_EQ(m.ended_elsewhere, c.ended_elsewhere) << c.head;
     EXPECT_EQ(m.no_slot, c.no_slot) << c.head;
     EXPECT_EQ(m.retry_after, std::chrono::milliseconds(c.wait_ms)) << c.head;
   }
 }
 
-TEST(LoadReport, NeedsBothItsFields) {
+TEST(LoadReport, RequiresBothFields) {
   const Config config = parse_config(config_json());
   const auto report = parse_load_report("x0=0.4,x1=25", config.boot);
   EXPECT_TRUE(report.present);
   EXPECT_DOUBLE_EQ(report.allowance_left, 0.4);
   EXPECT_DOUBLE_EQ(report.limit, 25);
-  for (const char* bad :
+  for (const char* invalid :
        {"", "x0=0.4", "x0=,x1=", "x0=nan,x1=1", "=,=,,", "x0", "x0=0.4,x1=25zz", "x0=0.4,x0=25",
         "x0=0.4,x1=25,x1=3", "x0=0.4,x1=1e300", "x0=-1,x1=25", "x0=0.4,x1=25,\x01"}) {
-    EXPECT_FALSE(parse_load_report(bad, config.boot).present) << bad;
+    EXPECT_FALSE(parse_load_report(invalid, config.boot).present) << invalid;
   }
 }
 
-TEST(Config, ReadsWhatTheProgramUses) {
+TEST(Config, ReadsTheFieldsThatTheProgramUses) {
   const Config c = parse_config(config_json({"127.0.0.2:5000", "127.0.0.1:8500", {{"s-1", "127.0.0.1:90"}}}));
   EXPECT_EQ(c.listen.text(), "127.0.0.2:5000");
   EXPECT_EQ(c.boot.settings.seed, 0x8c1f30d27a5be964u);
@@ -321,18 +321,18 @@
   ASSERT_EQ(c.known_hosts.hosts.size(), 1u);
   EXPECT_EQ(c.known_hosts.hosts[0].destination, 7u);
   EXPECT_LE(c.limits.max_downstream_connections + c.limits.max_upstream_connections, 1024u - 32);
-  EXPECT_LE(c.limits.max_journal_file * 2, 3'000'000u);  // old and new stand side by side
+  EXPECT_LE(c.limits.max_journal_file * 2, 3'000'000u);  // the old and the new file exist at the same time
 }
 
-// Only one kind of exception leaves these parsers, and it is caught where they are called.
-TEST(Config, StandsGarbage) {
+// These parsers throw only one type of exception, which their callers catch.
+TEST(Config, SurvivesGarbage) {
   const std::string config = config_json();
   const std::string list = list_json({{"s-1", "127.0.0.1:90"}, {"s-2", "127.0.0.1:91"}});
-  const Config good = parse_config(config);
+  const Config valid = parse_config(config);
   for (unsigned seed = 0; seed < 1500; ++seed) {
     std::mt19937 random(seed);
     try {
-      parse_hosts(corrupted_copy(list, random), good.boot);
+      parse_hosts(corrupted_copy(list, random), valid.boot);
     } catch (const ConfigError&) {
     }
     try {
@@ -340,12 +340,12 @@
     } catch (const ConfigError&) {
     }
   }
-  for (const char* bad : {"", "[]", "{}", "{\"version\":1,\"full\":true,\"servers\":[1]}",
-                          "{\"version\":\"1\",\"full\":true,\"servers\":[]}"}) {
-    EXPECT_THROW(parse_hosts(bad, good.boot), ConfigError) << bad;
-    EXPECT_THROW(parse_config(bad), ConfigError) << bad;
+  for (const char* invalid : {"", "[]", "{}", "{\"version\":1,\"full\":true,\"servers\":[1]}",
+                              "{\"version\":\"1\",\"full\":true,\"servers\":[]}"}) {
+    EXPECT_THROW(parse_hosts(invalid, valid.boot), ConfigError) << invalid;
+    EXPECT_THROW(parse_config(invalid), ConfigError) << invalid;
   }
-  EXPECT_THROW(parse_hosts(std::string(100000, '['), good.boot), ConfigError);
+  EXPECT_THROW(parse_hosts(std::string(100000, '['), valid.boot), ConfigError);
 }
 
 }  // namespace
--- a/tests/stray_agent_matrix_test.cpp
+++ b/tests/stray_agent_matrix_test.cpp
@@ -1,5 +1,5 @@
-// Every kind of stray bytes around every answer of the platform or of Consul's agent: what the relay reads is
-// the call's own answer, or none; and no notice counts as taken that the platform refused.
+// All kinds of unsolicited bytes around all answers of the platform or of Consul's agent: the client reads
+// the call's own answer or none, and no notice that the platform rejected counts as accepted.
 #include <algorithm>
 #include <array>
 #include <asio/co_spawn.hpp>
@@ -43,32 +43,32 @@
     {"an interim answer", "HTTP/1.1 100 Continue\r\n\r\n"},
     {"half a true", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntr"},
     {"half a head", "HTTP/1.1 204 No Con"},
-    {"an answer whose body takes in what follows", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n"},
-    {"an answer that is longer than it is", "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\ntrue"},
+    {"an answer whose body absorbs what follows", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n"},
+    {"a truncated answer", "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\ntrue"},
     {"garbage", "\x01\x02 no answer\r\n\r\n"},
     {"an empty line", "\r\n"}};
 
-enum class Place { in_front, behind };
+enum class Place { before_answer, after_answer };
 
 struct StrayCase {
   std::size_t stray = 0, answer = 0;
-  Place place = Place::behind;
+  Place place = Place::after_answer;
 
   const std::string& own() const { return kAnswers[answer].text; }
   std::string text() const {
     const std::string& stray_text = kStrays[stray].text;
-    return place == Place::in_front ? stray_text + own() : own() + stray_text;
+    return place == Place::before_answer ? stray_text + own() : own() + stray_text;
   }
   std::string name() const {
-    return kAnswers[answer].name + (place == Place::in_front ? ", in front of it " : ", behind it ") +
+    return kAnswers[answer].name + (place == Place::before_answer ? ", before it " : ", after it ") +
            kStrays[stray].name;
   }
-  // Whether nothing there contradicts the call's own answer.
-  bool is_plain() const {
+  // Whether the bytes do not conflict with the call's own answer.
+  bool is_unambiguous() const {
     const std::string& stray_text = kStrays[stray].text;
     return stray_text == own() || stray_text == "\r\n" ||
-           (place == Place::in_front ? stray_text.starts_with("HTTP/1.1 100 ")
-                                     : stray_text.front() == '\x01');
+           (place == Place::before_answer ? stray_text.starts_with("HTTP/1.1 100 ")
+                                          : stray_text.front() == '\x01');
   }
 };
 
@@ -76,7 +76,8 @@
   std::vector<StrayCase> cases;
   for (std::size_t stray = 0; stray < kStrays.size(); ++stray) {
     for (std::size_t answer = 0; answer < kAnswers.size(); ++answer) {
-      for (const Place place : {Place::in_front, Place::behind}) cases.push_back({stray, answer, place});
+      for (const Place place : {Place::before_answer, Place::after_answer})
+        cases.push_back({stray, answer, place});
     }
   }
   return cases;
@@ -92,18 +93,18 @@
   return out << read.status << ", index '" << read.index << "', body '" << read.body << "'";
 }
 
-AnswerRead read_of(HttpReader& reader) {
+AnswerRead read_answer_of(HttpReader& reader) {
   return {reader.status(), std::string(reader.header("x-consul-index").value_or("")), reader.take_body()};
 }
 
-AnswerRead own_of(const StrayCase& c) {
+AnswerRead own_answer(const StrayCase& c) {
   HttpReader reader(HttpReader::Kind::response, 65536, 65536);
   reader.feed(c.own());
-  return read_of(reader);
+  return read_answer_of(reader);
 }
 
-// What a client reads of each of these, a connection each; nothing where the call failed.
-std::vector<std::optional<AnswerRead>> ask_all(const std::vector<std::string>& texts) {
+// What a client reads for each of these answers, one connection each; empty if the call failed.
+std::vector<std::optional<AnswerRead>> call_all(const std::vector<std::string>& texts) {
   ScriptedServer agent([&](const Request& r) {
     return ScriptedAnswer{texts.at(std::stoul(r.target.substr(1))), milliseconds(0), {}};
   });
@@ -118,9 +119,9 @@
       const std::string text = "GET /" + std::to_string(i) + " HTTP/1.1\r\n\r\n";
       const bool sent = co_await client.send(text, seconds(20));
       bool answered = false;
-      // An answer of which half is missing is waited for.
+      // The rest of a truncated answer is waited for.
       if (sent) answered = co_await client.read_answer(seconds(1));
-      read.push_back(answered ? std::optional(read_of(client.answer())) : std::nullopt);
+      read.push_back(answered ? std::optional(read_answer_of(client.answer())) : std::nullopt);
     }
     client.close();
   };
@@ -129,26 +130,26 @@
   return read;
 }
 
-TEST(StrayAgentMatrix, AClientReadsTheCallsOwnAnswerOrNone) {
+TEST(StrayAgentMatrix, ClientReadsTheCallsOwnAnswerOrNone) {
   const std::vector<StrayCase> cases = all_cases();
   std::vector<std::string> texts;
   for (const StrayCase& c : cases) texts.push_back(c.text());
-  const std::vector<std::optional<AnswerRead>> read = ask_all(texts);
+  const std::vector<std::optional<AnswerRead>> read = call_all(texts);
   ASSERT_EQ(read.size(), cases.size());
   std::size_t failed = 0;
   for (std::size_t i = 0; i < cases.size(); ++i) {
     failed += read[i] ? 0 : 1;
     if (read[i]) {
-      EXPECT_EQ(*read[i], own_of(cases[i])) << cases[i].name();
+      EXPECT_EQ(*read[i], own_answer(cases[i])) << cases[i].name();
     } else {
-      EXPECT_FALSE(cases[i].is_plain()) << cases[i].name();
+      EXPECT_FALSE(cases[i].is_unambiguous()) << cases[i].name();
     }
   }
   std::printf("%zu cases, %zu of them calls without an answer\n", cases.size(), failed);
 }
 
-// The platform's first answer to the notice of each case is the case's; all others say that it is taken. 400
-// ends a notice as well: a line that cannot be read is not told again.
+// The platform's first answer to a notice is the one of the case; later ones accept it. 400 ends a notice as
+// well: an unreadable line is not sent again.
 class NoticeMatrix {
  public:
   NoticeMatrix()
@@ -159,18 +160,17 @@
         platform_([this](const Request& r) { return script(r); }),
         relay_(platform_.address()) {}
 
-  void play() {
+  void run() {
     relay_.start();
-    std::size_t refused_though_taken = 0;
+    std::size_t repeated_though_accepted = 0;
     for (std::size_t i = 0; i < cases_.size(); ++i) {
       ASSERT_EQ(relay_.ask(request_text(id_of(i), "x", "pay", destination(i))), 202u) << cases_[i].name();
       ASSERT_TRUE(happens([&] { return relay_.counter("notices_taken") == i + 1; }, seconds(20)))
           << cases_[i].name() << relay_.log();
-      EXPECT_GT(taken(i), 0u) << "refused, and not told again: " << cases_[i].name();
-      refused_though_taken += taken(i) > 1 ? 1 : 0;
+      EXPECT_GT(accepted(i), 0u) << "rejected, but not sent again: " << cases_[i].name();
+      repeated_though_accepted += accepted(i) > 1 ? 1 : 0;
     }
-    std::printf("%zu cases: %zu notices told again that had been taken\n", cases_.size(),
-                refused_though_taken);
+    std::printf("%zu cases: %zu accepted notices sent again\n", cases_.size(), repeated_though_accepted);
   }
 
  private:
@@ -192,27 +192,27 @@
     const std::size_t id = r.body.find("\"n");
     const std::size_t i = std::stoul(r.body.substr(id + 2));
     const std::scoped_lock lock(mutex_);
-    const bool first = tries_[i]++ == 0;
+    const bool first = attempts_[i]++ == 0;
     const std::string& own = cases_[i].own();
-    if (!first || own.starts_with("HTTP/1.1 204 ") || own.starts_with("HTTP/1.1 400 ")) ++taken_[i];
+    if (!first || own.starts_with("HTTP/1.1 204 ") || own.starts_with("HTTP/1.1 400 ")) ++accepted_[i];
     return {first ? cases_[i].text() : answer("204 No Content"), milliseconds(0), {}};
   }
-  std::size_t taken(std::size_t i) {
+  std::size_t accepted(std::size_t i) {
     const std::scoped_lock lock(mutex_);
-    return taken_[i];
+    return accepted_[i];
   }
 
   const std::vector<StrayCase> cases_;
   std::mutex mutex_;
-  std::map<std::size_t, std::size_t> tries_, taken_;  // of notices, by case
+  std::map<std::size_t, std::size_t> attempts_, accepted_;  // of notices, by case
   ScriptedServer host_;
   ScriptedServer platform_;
   RelayProgram relay_;
 };
 
-TEST(StrayAgentMatrix, NoNoticeIsTakenThatThePlatformRefused) {
+TEST(StrayAgentMatrix, NoNoticeRejectedByThePlatformCountsAsAccepted) {
   NoticeMatrix matrix;
-  matrix.play();
+  matrix.run();
 }
 
 }  // namespace
--- a/tests/stray_answers_test.cpp
+++ b/tests/stray_answers_test.cpp
@@ -1,5 +1,5 @@
-// Bytes on a connection that answer no call: second copies of answers, early ones, made-up ones. Each call
-// must end by its own answer, or as one that may have run.
+// Unsolicited bytes on a connection: duplicated, premature or forged answers. Each call must end by its own
+// answer, or as one that may have run.
 #include <asio/co_spawn.hpp>
 #include <asio/detached.hpp>
 
@@ -15,23 +15,23 @@
 using standin::ScriptedServer;
 using standin::StrayBytes;
 
-const std::string kTurnedAway = answer("503 Service Unavailable");
+const std::string kRefused = answer("503 Service Unavailable");
 const std::string kDelivered = answer("200 OK");
 constexpr milliseconds kStrayAt{10}, kAnswerAt{150};
 
-// A relay and one host, on which message `first` is answered at once, and while the call behind it on the
-// same connection is out, that answer comes once more.
-class CopiedAnswer {
+// A relay and one host. Message `first` is answered at once; while the next call on the same connection is in
+// flight, that answer arrives again.
+class DuplicateAnswer {
  public:
-  CopiedAnswer(std::string first, std::string second)
+  DuplicateAnswer(std::string first, std::string second)
       : host([this, first, second](const Request& r) { return script(r, first, second); }),
         platform({{"s-1", host.address()}}),
         relay(platform.address()) {
     relay.replace_settings("(record (kib 256))");
     relay.start();
   }
-  // What the flight record tells of a message.
-  std::string why(const std::string& id) const {
+  // What the flight record says about a message.
+  std::string explain(const std::string& id) const {
     const std::string command =
         std::string(FENNELLANE_PROGRAM) + " why --state " + relay.state_folder() + " " + id + " 2>&1";
     FILE* const pipe = ::popen(command.c_str(), "r");
@@ -40,8 +40,8 @@
     ::pclose(pipe);
     return {text, size};
   }
-  void hand_in_both() {
-    // From which the relay learns that the host says `Connection: close`.
+  void submit_both() {
+    // Shows the relay that the host honors `Connection: close`.
     ASSERT_EQ(relay.ask(request_text("before", "x", "note")), 202u);
     ASSERT_TRUE(happens([this] { return relay.counter("delivered") == 1; }));
     ASSERT_EQ(relay.ask(request_text("first", "x", "note")), 202u);
@@ -65,31 +65,32 @@
   RelayProgram relay;
 };
 
-TEST(StrayAnswer, ACopyOfARefusalSendsNoMessageTwice) {
-  CopiedAnswer scene(kTurnedAway, kDelivered);
-  scene.hand_in_both();
-  EXPECT_TRUE(happens([&] { return scene.relay.counter("delivered") == 3; })) << scene.relay.log();
-  std::this_thread::sleep_for(milliseconds(800));  // in which a wrong retry would go out
-  EXPECT_EQ(scene.host.count("second"), 1u);
-  EXPECT_FALSE(scene.platform.noticed("second"));
-  const std::string told = scene.why("second");
-  EXPECT_NE(told.find("call 2 of connection"), std::string::npos) << told;
-  EXPECT_NE(told.find("an answer 503 that belongs to no call, while the call was out"), std::string::npos)
-      << told;
+TEST(StrayAnswer, DuplicateRefusalSendsNoMessageTwice) {
+  DuplicateAnswer fixture(kRefused, kDelivered);
+  fixture.submit_both();
+  EXPECT_TRUE(happens([&] { return fixture.relay.counter("delivered") == 3; })) << fixture.relay.log();
+  std::this_thread::sleep_for(milliseconds(800));  // a wrong retry would be sent in this time
+  EXPECT_EQ(fixture.host.count("second"), 1u);
+  EXPECT_FALSE(fixture.platform.noticed("second"));
+  const std::string explanation = fixture.explain("second");
+  EXPECT_NE(explanation.find("call 2 of connection"), std::string::npos) << explanation;
+  EXPECT_NE(explanation.find("an answer 503 that belongs to no call, while the call was out"),
+            std::string::npos)
+      << explanation;
 }
 
-TEST(StrayAnswer, ACopyOfADeliveryEndsNoOtherMessage) {
-  CopiedAnswer scene(kDelivered, kTurnedAway);
-  scene.hand_in_both();
-  EXPECT_TRUE(happens([&] { return scene.host.count("second") == 2 || scene.platform.noticed("second"); },
+TEST(StrayAnswer, DuplicateDeliveryEndsNoOtherMessage) {
+  DuplicateAnswer fixture(kDelivered, kRefused);
+  fixture.submit_both();
+  EXPECT_TRUE(happens([&] { return fixture.host.count("second") == 2 || fixture.platform.noticed("second"); },
                       seconds(10)))
-      << scene.relay.log();
+      << fixture.relay.log();
 }
 
-// Two answers that contradict one another come in one piece: either may be the call's.
-TEST(StrayAnswer, AContraryOneInTheSamePieceLeavesTheCallInDoubt) {
+// Two conflicting answers arrive in one piece: either may belong to the call.
+TEST(StrayAnswer, ConflictingAnswerInTheSamePieceLeavesTheCallUncertain) {
   Server host([](const Request& r) {
-    return r.id == "run" ? kTurnedAway + kDelivered : r.id == "lost" ? kDelivered + kTurnedAway : kDelivered;
+    return r.id == "run" ? kRefused + kDelivered : r.id == "lost" ? kDelivered + kRefused : kDelivered;
   });
   Platform platform({{"s-1", host.address(), 7}, {"s-2", host.address(), 8}});
   RelayProgram relay(platform.address());
@@ -107,15 +108,15 @@
   }
 }
 
-// A connection on which an answer comes before its call is written was never asked anything. The library
-// keeps the relay from looking at it at once, so that the answer is there when it does.
-TEST(StrayAnswer, AnAnswerBeforeItsCallIsNone) {
-  std::atomic<int> greeted = 0;
+// An answer that arrives before the call is written cannot belong to the call. The preloaded library delays
+// the relay's check of the connection, so that the answer is there when it runs.
+TEST(StrayAnswer, AnswerBeforeItsCallIsIgnored) {
+  std::atomic<int> connections_accepted = 0;
   ScriptedServer host(
       [](const Request&) {
-        return ScriptedAnswer{kTurnedAway, kAnswerAt, {}};
+        return ScriptedAnswer{kRefused, kAnswerAt, {}};
       },
-      [&] { return ++greeted == 1 ? kDelivered : std::string(); });
+      [&] { return ++connections_accepted == 1 ? kDelivered : std::string(); });
   Platform platform({{"s-1", host.address()}});
   RelayProgram relay(platform.address());
   relay.set_variable("LD_PRELOAD", FENNELLANE_FAULT_SHIM);
@@ -131,21 +132,21 @@
   EXPECT_EQ(relay.counter("delivered"), 0u);
 }
 
-// The platform takes a batch of notices and says so twice; the next batch fails at first.
-TEST(StrayAnswer, ACopyOfThePlatformsAnswerTakesNoOtherNotice) {
+// The platform accepts a batch of notices and sends its answer twice; the next batch fails at first.
+TEST(StrayAnswer, DuplicatePlatformAnswerAcceptsNoOtherNotice) {
   ScriptedServer host([](const Request&) {
     return ScriptedAnswer{answer("500 Error"), milliseconds(0), {}};
   });
   const std::string list = list_json({{"s-1", host.address(), 7}, {"s-2", host.address(), 8}});
-  const std::string good = answer("204 No Content"), bad = answer("500 Error");
+  const std::string accepted = answer("204 No Content"), failed = answer("500 Error");
   std::atomic<int> tries = 0;
   ScriptedServer platform([&](const Request& r) {
     if (r.target == "/discovery/hosts") return ScriptedAnswer{answer("200 OK", list), milliseconds(0), {}};
     if (r.target != "/v1/notices") return ScriptedAnswer{};
     if (r.body.find("second") == std::string::npos) {
-      return ScriptedAnswer{good, milliseconds(0), {{milliseconds(0), good}}};
+      return ScriptedAnswer{accepted, milliseconds(0), {{milliseconds(0), accepted}}};
     }
-    return ScriptedAnswer{tries++ == 0 ? bad : good, milliseconds(20), {}};
+    return ScriptedAnswer{tries++ == 0 ? failed : accepted, milliseconds(20), {}};
   });
   RelayProgram relay(platform.address());
   relay.start();
@@ -155,21 +156,21 @@
   EXPECT_TRUE(happens([&] { return tries == 2; }, seconds(10))) << relay.log();
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 2; })) << relay.log();
   EXPECT_EQ(relay.counter("strays.agents"), 1u);
-  EXPECT_EQ(relay.logged("agent: " + platform.address() + ": bytes that answer no call"), 1u) << relay.log();
+  EXPECT_EQ(relay.logged("agent: " + platform.address() + ": unsolicited bytes"), 1u) << relay.log();
 }
 
-// The platform refuses a batch, and a path writes that it was taken, in the same piece and in front of it.
-TEST(StrayAnswer, AContraryOneInOnePieceWithThePlatformsTakesNoNotice) {
+// The platform rejects a batch, and the network path forges an acceptance in front of it, in the same piece.
+TEST(StrayAnswer, ConflictingAnswerInOnePieceWithThePlatformsAcceptsNoNotice) {
   ScriptedServer host([](const Request&) {
     return ScriptedAnswer{answer("500 Error"), milliseconds(0), {}};
   });
   const std::string list = list_json({{"s-1", host.address()}});
-  const std::string good = answer("204 No Content"), bad = answer("500 Error");
+  const std::string accepted = answer("204 No Content"), failed = answer("500 Error");
   std::atomic<int> tries = 0;
   ScriptedServer platform([&](const Request& r) {
     if (r.target == "/discovery/hosts") return ScriptedAnswer{answer("200 OK", list), milliseconds(0), {}};
     if (r.target != "/v1/notices") return ScriptedAnswer{};
-    return ScriptedAnswer{tries++ == 0 ? good + bad : good, milliseconds(0), {}};
+    return ScriptedAnswer{tries++ == 0 ? accepted + failed : accepted, milliseconds(0), {}};
   });
   RelayProgram relay(platform.address());
   relay.start();
@@ -178,8 +179,8 @@
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; })) << relay.log();
 }
 
-// A line of the watch that comes once more must not bring back a host that drains.
-TEST(StrayAnswer, AnOlderLineOfTheWatchUndoesNoDrain) {
+// A repeated older line of the watch must not undo the draining of a host.
+TEST(StrayAnswer, OlderWatchLineUndoesNoDrain) {
   Server draining([](const Request&) { return kDelivered; });
   Server other([](const Request&) { return kDelivered; });
   const HostLine ready{"s-1", draining.address()}, drains{"s-1", draining.address(), 7, "draining"};
@@ -189,7 +190,7 @@
   RelayProgram relay(platform.address());
   relay.start();
   ASSERT_TRUE(happens([&] { return platform.watches() >= 1; }));
-  // The watch that is opened anew brings what has changed since, which is nothing.
+  // The reopened watch reports the changes since, of which there are none.
   platform.set_watch("\n");
   ASSERT_TRUE(happens([&] { return relay.counter("lists") >= 3; }));
   std::this_thread::sleep_for(milliseconds(200));
@@ -198,8 +199,8 @@
   EXPECT_EQ(draining.requests().size(), 0u);
 }
 
-// What all calls to Consul's agent and to the platform go through.
-TEST(StrayAnswer, ACopyOfAnAgentsAnswerIsNotTheNextCalls) {
+// Tests the HTTP client that is used for all calls to Consul's agent and to the platform.
+TEST(StrayAnswer, DuplicateAgentAnswerIsNotTakenForTheNextCalls) {
   ScriptedServer agent([](const Request& r) {
     const std::string text = answer("200 OK", r.target == "/first" ? "true" : "false");
     if (r.target == "/first") return ScriptedAnswer{text, milliseconds(0), {{milliseconds(0), text}}};
@@ -210,7 +211,7 @@
   const Address address = parse_address(agent.address());
   fennellane::HttpClient client(io, address, limits, limits.max_body_size);
   std::vector<std::string> answers;
-  const auto ask_both = [&]() -> asio::awaitable<void> {
+  const auto call_both = [&]() -> asio::awaitable<void> {
     for (const char* target : {"/first", "/second"}) {
       if (!client.open()) co_await client.connect(seconds(5));
       const std::string text = std::string("GET ") + target + " HTTP/1.1\r\n\r\n";
@@ -221,76 +222,75 @@
     }
     client.close();
   };
-  asio::co_spawn(io, ask_both, rethrow);
+  asio::co_spawn(io, call_both, rethrow);
   io.run();
   EXPECT_EQ(answers, (std::vector<std::string>{"true", "false"}));
 }
 
 // --- The state machine alone
-// All that a path can bring in some steps, each step one of: a call, its answer, a copy of any answer that
-// was written on the connection. Nothing but a call's own answer may end it. The path is one of many
-// connections' paths, so every order of steps is played.
+// Explores all sequences of a number of steps on a connection, each step a call, its answer, or a copy of an
+// earlier answer. Only a call's own answer may end it.
 template <class Pairing>
 struct PairingState {
   Pairing pairing;
-  std::vector<bool> says_close;  // of each call that was written, by number
-  std::size_t answered = 0;      // of these, by the server
-  bool out = false;
+  std::vector<bool> close_requested;  // for each call written, by number
+  std::size_t answered = 0;           // number of calls answered by the server
+  bool call_in_flight = false;
 };
 
 template <class Pairing>
-void explore(const PairingState<Pairing>& world, int steps, std::size_t& ended, std::size_t& wrong) {
+void explore(const PairingState<Pairing>& state, int steps, std::size_t& ended, std::size_t& wrong) {
   if (steps == 0) return;
-  const auto heard = [&](std::size_t call) {
-    PairingState<Pairing> next = world;
+  const auto deliver_answer = [&](std::size_t call) {
+    PairingState<Pairing> next = state;
     next.answered = std::max(next.answered, call + 1);
-    if (!next.out) {
+    if (!next.call_in_flight) {
       next.pairing.mark_unusable();
-    } else if (next.pairing.match_answer(next.says_close[call])) {
-      next.out = false;
+    } else if (next.pairing.match_answer(next.close_requested[call])) {
+      next.call_in_flight = false;
       ++ended;
-      wrong += call + 1 == next.says_close.size() ? 0 : 1;
+      wrong += call + 1 == next.close_requested.size() ? 0 : 1;
     }
     explore(next, steps - 1, ended, wrong);
   };
-  if (!world.out && world.pairing.can_start_call()) {
-    for (const bool asks : {false, true}) {
-      if (!asks && world.pairing.must_request_close()) continue;
-      PairingState<Pairing> next = world;
-      next.pairing.begin_call(asks);
-      next.says_close.push_back(asks);
-      next.out = true;
+  if (!state.call_in_flight && state.pairing.can_start_call()) {
+    for (const bool requests_close : {false, true}) {
+      if (!requests_close && state.pairing.must_request_close()) continue;
+      PairingState<Pairing> next = state;
+      next.pairing.begin_call(requests_close);
+      next.close_requested.push_back(requests_close);
+      next.call_in_flight = true;
       explore(next, steps - 1, ended, wrong);
     }
   }
-  // The server answers in order; what it has answered may come again.
-  for (std::size_t call = 0; call < std::min(world.answered + 1, world.says_close.size()); ++call)
-    heard(call);
+  // The server answers in order; an answer may be repeated.
+  for (std::size_t call = 0; call < std::min(state.answered + 1, state.close_requested.size()); ++call)
+    deliver_answer(call);
 }
 
-// As the relay once was.
+// Accepts every answer, as the relay once did; shows that the search finds the fault.
 struct AcceptsAnyAnswer {
-  bool can_start_call() const { return !out_; }
+  bool can_start_call() const { return !busy_; }
   bool must_request_close() const { return false; }
-  void begin_call(bool) { out_ = true; }
-  bool match_answer(bool) { return std::exchange(out_, false); }
-  void mark_unusable() { out_ = true; }
+  void begin_call(bool) { busy_ = true; }
+  bool match_answer(bool) { return std::exchange(busy_, false); }
+  void mark_unusable() { busy_ = true; }
 
  private:
-  bool out_ = false;
+  bool busy_ = false;
 };
 
-TEST(AnswerPairing, EndsNoCallByAnotherCallsAnswerWhateverComesAgain) {
+TEST(AnswerPairing, EndsNoCallByAnotherCallsAnswerWhateverIsRepeated) {
   constexpr int kSteps = 12;
   std::size_t ended = 0, wrong = 0;
   explore(PairingState<AnswerPairing>{}, kSteps, ended, wrong);
   EXPECT_GT(ended, 0u);
   EXPECT_EQ(wrong, 0u);
   explore(PairingState<AcceptsAnyAnswer>{}, kSteps, ended, wrong);
-  EXPECT_GT(wrong, 0u) << "the check finds nothing";
+  EXPECT_GT(wrong, 0u) << "the check finds no fault";
 }
 
-TEST(AnswerPairing, CarriesTwoCallsAtMostAndTheSecondOnlyWithAClose) {
+TEST(AnswerPairing, AllowsTwoCallsAtMostAndTheSecondOnlyWithAClose) {
   AnswerPairing pairing;
   EXPECT_FALSE(pairing.must_request_close());
   pairing.begin_call(false);
@@ -305,7 +305,7 @@
   EXPECT_FALSE(pairing.can_start_call());
 }
 
-TEST(AnswerHead, JoinedFromTwoAnswersIsRefused) {
+TEST(AnswerHead, MergedFromTwoAnswersIsRejected) {
   const std::string whole =
       "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
   for (const char* half : {"HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nX-Load-Report: x0=0.", "HTTP/1.1 200 "}) {
--- a/tests/stray_matrix_test.cpp
+++ b/tests/stray_matrix_test.cpp
@@ -1,5 +1,6 @@
-// Every kind of stray bytes, at every place on a connection to a host, with every answer of the protocol and
-// both effects of a class: no message runs twice beyond its class, and each that was taken on has an end.
+// All kinds of unsolicited bytes, at all positions on a connection to a host, with all answers of the
+// protocol and both effects of a class: no message runs twice unless its class allows it, and each accepted
+// message gets an end.
 #include <algorithm>
 #include <array>
 #include <set>
@@ -37,19 +38,18 @@
     {"an interim answer", "HTTP/1.1 100 Continue\r\n\r\n"},
     {"half a delivery", "HTTP/1.1 200 OK\r\nContent-Le"},
     {"half a refusal", "HTTP/1.1 503 Serv"},
-    {"a delivery that is longer than it is", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nx"},
-    {"a delivery whose body takes in what follows", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n"},
-    {"a delivery whose body takes in a little of what follows",
-     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"},
+    {"a truncated delivery", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nx"},
+    {"a delivery whose body absorbs what follows", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n"},
+    {"a delivery whose body absorbs part of what follows", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"},
     {"garbage", "\x01\x02 no answer\r\n\r\n"}};
 
-enum class Place { behind_the_answer_before, while_resting, during_the_call, in_front, behind };
-constexpr std::array kPlaces = {"behind the answer before", "while resting", "during the call",
-                                "in front, in one piece", "behind, in one piece"};
+enum class Place { after_previous_answer, while_idle, during_call, before_answer, after_answer };
+constexpr std::array kPlaces = {"after the previous answer", "while idle", "during the call",
+                                "before, in one piece", "after, in one piece"};
 
 struct StrayCase {
   std::size_t stray = 0, answer = 0;
-  Place place = Place::behind;
+  Place place = Place::after_answer;
   bool pay = false;
 
   std::string name() const {
@@ -58,13 +58,13 @@
   }
 };
 
-// Whether the case's call finds the connection that a call before it left, or makes one.
-enum class Connection { kept, fresh };
+// Whether the call reuses the connection of a previous call or opens a new one.
+enum class Connection { reused, fresh };
 
-bool can_be(Place place, Connection connection) {
-  if (connection == Connection::kept) return true;
-  // A first call's answer cannot be told from one that a path makes up before it (docs/connections.md).
-  return place == Place::in_front || place == Place::behind;
+bool is_possible(Place place, Connection connection) {
+  if (connection == Connection::reused) return true;
+  // The answer to a connection's first call cannot be told from a forged one before it (docs/connections.md).
+  return place == Place::before_answer || place == Place::after_answer;
 }
 
 std::vector<StrayCase> all_cases(Connection connection) {
@@ -72,7 +72,7 @@
   for (std::size_t stray = 0; stray < kStrays.size(); ++stray) {
     for (std::size_t answer = 0; answer < kAnswers.size(); ++answer) {
       for (std::size_t place = 0; place < kPlaces.size(); ++place) {
-        if (!can_be(static_cast<Place>(place), connection)) continue;
+        if (!is_possible(static_cast<Place>(place), connection)) continue;
         for (const bool pay : {false, true}) cases.push_back({stray, answer, static_cast<Place>(place), pay});
       }
     }
@@ -80,46 +80,48 @@
   return cases;
 }
 
-// One destination a case, with one host; a message before it leaves its connection for the case's own.
+// Each case has its own destination with one host. A preceding message leaves its connection open for the
+// case's call.
 class StrayMatrix {
  public:
   explicit StrayMatrix(Connection connection)
       : connection_(connection),
         cases_(all_cases(connection)),
         ran_(cases_.size()),
-        over_(cases_.size()),
+        ended_(cases_.size()),
         server_([this](const Request& r) { return script(r); }),
         platform_(hosts()),
         relay_(platform_.address(), parts()) {}
 
-  void play() {
+  void run() {
     relay_.start();
-    hand_in("w", 0, false);  // from which the relay learns that the host says `Connection: close`
+    submit("w", 0, false);  // shows the relay that the host honors `Connection: close`
     ASSERT_TRUE(happens([this] { return relay_.counter("delivered") == 1; })) << relay_.log();
-    constexpr std::size_t kAtOnce = 30;  // cases, so that each finds its connection open
-    for (std::size_t first = 0; first < cases_.size(); first += kAtOnce) {
-      play_some(first, std::min(cases_.size(), first + kAtOnce));
+    // Cases at a time, few enough that each finds its connection still open.
+    constexpr std::size_t kBatchSize = 30;
+    for (std::size_t first = 0; first < cases_.size(); first += kBatchSize) {
+      run_batch(first, std::min(cases_.size(), first + kBatchSize));
     }
-    happens([this] { return first_without_end() == cases_.size(); }, seconds(15));
+    happens([this] { return first_unended() == cases_.size(); }, seconds(15));
   }
 
   void check() const {
     const std::set<std::string> noticed = noticed_ids();
-    std::size_t twice = 0, lost = 0, noticed_of_delivered = 0;
+    std::size_t twice = 0, lost = 0, noticed_though_ended = 0;
     for (std::size_t i = 0; i < cases_.size(); ++i) {
       if (cases_[i].pay && ran_[i] > 1) {
         ++twice;
         ADD_FAILURE() << "ran " << ran_[i] << " times: " << cases_[i].name();
       }
-      const bool told = noticed.count(id_of("t", i)) > 0;
-      if (!over_[i] && !told) {
+      const bool was_noticed = noticed.count(id_of("t", i)) > 0;
+      if (!ended_[i] && !was_noticed) {
         ++lost;
         ADD_FAILURE() << "has no end: " << cases_[i].name();
       }
-      noticed_of_delivered += over_[i] && told ? 1 : 0;
+      noticed_though_ended += ended_[i] && was_noticed ? 1 : 0;
     }
-    std::printf("%zu cases: %zu ran twice, %zu lost, %zu notices for what a host had ended\n", cases_.size(),
-                twice, lost, noticed_of_delivered);
+    std::printf("%zu cases: %zu ran twice, %zu lost, %zu notices for messages that a host had ended\n",
+                cases_.size(), twice, lost, noticed_though_ended);
   }
 
  private:
@@ -139,52 +141,52 @@
     return parts;
   }
 
-  void hand_in(const std::string& kind, std::size_t i, bool pay) {
+  void submit(const std::string& kind, std::size_t i, bool pay) {
     std::string text = request_text(id_of(kind, i), "x", pay ? "pay" : "note", destination(i));
     text.replace(text.find("X-Budget-Ms: 20000"), 18, "X-Budget-Ms: 4000");
     ASSERT_EQ(relay_.ask(text), 202u) << id_of(kind, i);
   }
 
-  void play_some(std::size_t first, std::size_t end) {
-    if (connection_ == Connection::kept) leave_connections(first, end);
-    for (std::size_t i = first; i < end; ++i) hand_in("t", i, cases_[i].pay);
+  void run_batch(std::size_t first, std::size_t end) {
+    if (connection_ == Connection::reused) open_connections(first, end);
+    for (std::size_t i = first; i < end; ++i) submit("t", i, cases_[i].pay);
   }
 
-  void leave_connections(std::size_t first, std::size_t end) {
-    for (std::size_t i = std::max<std::size_t>(1, first); i < end; ++i) hand_in("w", i, false);
+  void open_connections(std::size_t first, std::size_t end) {
+    for (std::size_t i = std::max<std::size_t>(1, first); i < end; ++i) submit("w", i, false);
     ASSERT_TRUE(happens([&] {
       for (std::size_t i = first; i < end; ++i) {
         if (server_.count(id_of("w", i)) == 0) return false;
       }
       return true;
     }));
-    std::this_thread::sleep_for(2 * kResting);
+    std::this_thread::sleep_for(2 * kIdleTime);
   }
 
   ScriptedAnswer script(const Request& r) {
     const std::size_t i = std::stoul(r.id.substr(1));
-    if (r.id.front() == 'w') return answer_before(cases_[i]);
+    if (r.id.front() == 'w') return previous_answer(cases_[i]);
     const std::scoped_lock lock(mutex_);
-    const bool first_try = !tried_[i];
-    tried_[i] = true;
-    const std::string& own = first_try ? kAnswers[cases_[i].answer].text : kDelivered;
+    const bool first_attempt = !attempted_[i];
+    attempted_[i] = true;
+    const std::string& own = first_attempt ? kAnswers[cases_[i].answer].text : kDelivered;
     ran_[i] += own == kDelivered || own.find(" 500 ") != std::string::npos ? 1 : 0;
-    over_[i] = over_[i] || own == kDelivered || own.find(" 410 ") != std::string::npos;
-    return first_try ? answer_of(cases_[i], r, own) : ScriptedAnswer{own, milliseconds(0), {}};
+    ended_[i] = ended_[i] || own == kDelivered || own.find(" 410 ") != std::string::npos;
+    return first_attempt ? answer_of(cases_[i], r, own) : ScriptedAnswer{own, milliseconds(0), {}};
   }
-  static ScriptedAnswer answer_before(const StrayCase& c) {
+  static ScriptedAnswer previous_answer(const StrayCase& c) {
     ScriptedAnswer answer{kDelivered, milliseconds(0), {}};
     const std::string& stray = kStrays[c.stray].text;
-    if (c.place == Place::behind_the_answer_before) answer.text += stray;
-    if (c.place == Place::while_resting) answer.strays.push_back({kResting, stray});
+    if (c.place == Place::after_previous_answer) answer.text += stray;
+    if (c.place == Place::while_idle) answer.strays.push_back({kIdleTime, stray});
     return answer;
   }
   static ScriptedAnswer answer_of(const StrayCase& c, const Request& r, const std::string& own) {
     ScriptedAnswer answer{own, kAnswerAt, {}};
     const std::string& stray = kStrays[c.stray].text;
-    if (c.place == Place::during_the_call && r.nth > 1) answer.strays.push_back({kDuring, stray});
-    if (c.place == Place::in_front) answer.strays.push_back({kAnswerAt, stray});
-    if (c.place == Place::behind) answer.text += stray;
+    if (c.place == Place::during_call && r.nth > 1) answer.strays.push_back({kDuringCall, stray});
+    if (c.place == Place::before_answer) answer.strays.push_back({kAnswerAt, stray});
+    if (c.place == Place::after_answer) answer.text += stray;
     return answer;
   }
 
@@ -195,22 +197,22 @@
     }
     return ids;
   }
-  std::size_t first_without_end() const {
+  std::size_t first_unended() const {
     for (std::size_t i = 0; i < cases_.size(); ++i) {
       const std::scoped_lock lock(mutex_);
-      if (!over_[i] && !platform_.noticed("{\"id\":\"" + id_of("t", i) + "\"")) return i;
+      if (!ended_[i] && !platform_.noticed("{\"id\":\"" + id_of("t", i) + "\"")) return i;
     }
     return cases_.size();
   }
 
-  static constexpr milliseconds kResting{15}, kDuring{10}, kAnswerAt{30};
+  static constexpr milliseconds kIdleTime{15}, kDuringCall{10}, kAnswerAt{30};
 
   const Connection connection_;
   const std::vector<StrayCase> cases_;
   mutable std::mutex mutex_;
   std::vector<std::size_t> ran_;
-  std::vector<bool> over_;
-  std::vector<bool> tried_ = std::vector<bool>(cases_.size());
+  std::vector<bool> ended_;
+  std::vector<bool> attempted_ = std::vector<bool>(cases_.size());
   ScriptedServer server_;
   Platform platform_;
   RelayProgram relay_;
@@ -218,14 +220,14 @@
 
 class StrayMatrixTest : public testing::TestWithParam<Connection> {};
 
-TEST_P(StrayMatrixTest, EndsEachMessageByItsOwnAnswerOrInDoubt) {
+TEST_P(StrayMatrixTest, EndsEachMessageByItsOwnAnswerOrAsUncertain) {
   StrayMatrix matrix(GetParam());
-  matrix.play();
+  matrix.run();
   matrix.check();
 }
-INSTANTIATE_TEST_SUITE_P(On, StrayMatrixTest, testing::Values(Connection::kept, Connection::fresh),
+INSTANTIATE_TEST_SUITE_P(On, StrayMatrixTest, testing::Values(Connection::reused, Connection::fresh),
                          [](const auto& info) {
-                           return info.param == Connection::kept ? "AKept" : "AFresh";
+                           return info.param == Connection::reused ? "AReusedConnection" : "AFreshConnection";
                          });
 
 }  // namespace
