--- a/src/io/adopt_socket.hpp
+++ b/src/io/adopt_socket.hpp
@@ -1,4 +1,4 @@
-// A TCP socket or listener that another process has opened.
+// Adopts a TCP socket or listener that another process opened.
 #pragma once
 
 #include <sys/socket.h>
@@ -9,7 +9,7 @@
 
 namespace fennellane {
 
-// Throws std::system_error where it is none.
+// Throws std::system_error if the descriptor is not a socket.
 template <class Socket>
 void adopt_tcp_socket(Socket& socket, FileDescriptor fd) {
   sockaddr_storage name{};
--- a/src/io/asio.cpp
+++ b/src/io/asio.cpp
@@ -1,2 +1,2 @@
-// Asio's own code, compiled here and nowhere else.
+// Compiles Asio's implementation, in this file only.
 #include <asio/impl/src.hpp>
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -1,4 +1,4 @@
-// The clock of the loop: what has no clock of its own is handed its moments.
+// The event loop's clock. Code that reads no clock itself gets the time as an argument.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
   return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-// The moment as timers take it.
+// Converts to the type that timers use.
 inline std::chrono::steady_clock::time_point to_time_point(Time at) {
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(at));
--- a/src/io/event_loop.cpp
+++ b/src/io/event_loop.cpp
@@ -9,21 +9,21 @@
 void require_working_timers(asio::io_context& io) {
   constexpr std::chrono::milliseconds kShort{1};
   constexpr std::chrono::milliseconds kLong{500};
-  bool due = false;
+  bool expired = false;
   asio::steady_timer timer(io, kShort);
-  timer.async_wait([&due](asio::error_code error) { due = !error; });
+  timer.async_wait([&expired](asio::error_code error) { expired = !error; });
   io.run_for(kLong);
-  if (!due) {
+  if (!expired) {
     timer.cancel();
     io.restart();
     io.poll();
   }
   io.restart();
-  if (!due) throw std::system_error(ENOMEM, std::generic_category(), "the event loop's timers");
+  if (!expired) throw std::system_error(ENOMEM, std::generic_category(), "the event loop's timers");
 }
 
-bool poll_until_idle(asio::io_context& io, Time most) {
-  const auto end = std::chrono::steady_clock::now() + most;
+bool poll_until_idle(asio::io_context& io, Time max_duration) {
+  const auto end = std::chrono::steady_clock::now() + max_duration;
   while (std::chrono::steady_clock::now() < end) {
     if (io.poll_one() == 0) return true;
   }
--- a/src/io/event_loop.hpp
+++ b/src/io/event_loop.hpp
@@ -1,4 +1,4 @@
-// What the relay needs of its event loop beyond running it.
+// Helpers for the event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -7,12 +7,11 @@
 
 namespace fennellane {
 
-// Guards against an event loop that was made while system calls failed for a moment.
-// Throws std::system_error where the loop's timers do not come due: the library overlooks some failures as it
-// sets them up. Before the loop has any work.
+// Throws std::system_error if the loop's timers do not expire: the library ignores some errors while setting
+// them up, for instance when system calls fail transiently. Call before the loop has any work.
 void require_working_timers(asio::io_context& io);
 
-// Runs handlers until none is ready, or for `most`. Returns whether none is ready.
-bool poll_until_idle(asio::io_context& io, Time most);
+// Runs handlers until none is ready or `max_duration` has passed. Returns whether none is ready.
+bool poll_until_idle(asio::io_context& io, Time max_duration);
 
 }  // namespace fennellane
--- a/src/io/log.hpp
+++ b/src/io/log.hpp
@@ -1,7 +1,7 @@
-// Lines on standard error, so many at most: what the network brings must not fill a disk. A line that would
-// block, on a pipe that nobody reads, is left out, and one that is longer than a pipe takes in one piece is
-// cut. Written with spdlog, in one of three forms that have the same fields: time, level, relay, part, msg
-// (plain leaves out time and level).
+// Writes a limited number of lines to standard error, so that input from the network cannot fill a disk. A
+// line that would block, because standard error is a pipe that is not being read, is dropped; one longer than
+// a pipe takes in one atomic write is truncated. Uses spdlog, in one of three forms with the same fields:
+// time, level, relay, part, msg (plain omits time and level).
 #pragma once
 
 #include <memory>
@@ -23,19 +23,20 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  // `part` says who speaks ("journal", "consul"); an empty one, the relay itself.
+  // `part` names the component ("journal", "consul"); empty for the relay itself.
   void operator()(std::string_view part, const std::string& text);
-  // Always written, and flushed, but where standard error is a pipe that nobody reads.
+  // Not subject to the line limit, and flushed. Dropped only if standard error is a pipe that is not being
+  // read.
   void report(const std::string& text);
 
  private:
   void write(std::string_view part, const std::string& text);
-  // All of a line but what its pattern adds.
+  // Everything of a line except what the pattern adds.
   std::string format_payload(std::string_view part, const std::string& text) const;
 
   const LogFormat form_;
   std::size_t lines_left_;
-  std::size_t dropped_lines_ = 0;  // lines, since standard error is a pipe that nobody reads
+  std::size_t dropped_lines_ = 0;  // lines, while standard error is a pipe that is not being read
   const std::unique_ptr<spdlog::logger> logger_;
 };
 
--- a/src/io/loop_lag_monitor.hpp
+++ b/src/io/loop_lag_monitor.hpp
@@ -1,4 +1,4 @@
-// How late the loop runs: a timer that looks at the clock now and then.
+// Measures how late the event loop runs, with a periodic timer.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,9 +11,9 @@
 
 class LoopLagMonitor {
  public:
-  // `on_beat` is called every `beat`, with the longest that the loop was late since the last call.
-  using OnReport = std::function<void(Time latest)>;
-  LoopLagMonitor(asio::io_context& io, Time look, Time beat, OnReport on_beat);
+  // `on_report` is called every `report_interval` with the longest delay since the previous call.
+  using OnReport = std::function<void(Time max_lag)>;
+  LoopLagMonitor(asio::io_context& io, Time check_interval, Time report_interval, OnReport on_report);
   void start();
 
  private:
--- a/src/io/rate_limited_log.hpp
+++ b/src/io/rate_limited_log.hpp
@@ -1,4 +1,5 @@
-// One kind of line in the log, at most once in a while: those in between are counted and told with the next.
+// Logs one kind of line at a limited rate. Suppressed lines are counted, and the next line reports their
+// number.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,8 @@
 
 class RateLimitedLog {
  public:
-  RateLimitedLog(Log& log, std::string part, Time least_gap)
-      : log_(log), part_(std::move(part)), min_interval_(least_gap) {}
+  RateLimitedLog(Log& log, std::string part, Time min_interval)
+      : log_(log), part_(std::move(part)), min_interval_(min_interval) {}
 
   void operator()(Time now, const std::string& text) {
     if (now < next_allowed_) {
@@ -22,7 +23,7 @@
     next_allowed_ = now + min_interval_;
     log_(part_, suppressed_lines_ == 0
                     ? text
-                    : text + " (and " + std::to_string(suppressed_lines_) + " more since)");
+                    : text + " (and " + std::to_string(suppressed_lines_) + " more suppressed)");
     suppressed_lines_ = 0;
   }
 
--- a/src/io/ring_buffer.hpp
+++ b/src/io/ring_buffer.hpp
@@ -1,4 +1,5 @@
-// A ring of bytes of a fixed size, one for each direction of a connection. Its memory is taken on first use.
+// Ring buffer of a fixed capacity, one for each direction of a connection. Its memory is allocated on first
+// use.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +21,7 @@
   std::size_t room() const { return capacity_ - size_; }
   bool empty() const { return size_ == 0; }
 
-  // The longest stretch of free bytes in one piece; what was written there is then committed.
+  // The longest contiguous free range. Bytes written there become part of the content through `commit`.
   std::span<char> space() {
     if (!bytes_ && capacity_ > 0) bytes_ = std::make_unique_for_overwrite<char[]>(capacity_);
     if (size_ == 0) start_ = 0;
@@ -30,7 +31,7 @@
   }
   void commit(std::size_t count) { size_ += std::min(count, room()); }
 
-  // The longest stretch of held bytes in one piece, from the first on.
+  // The longest contiguous range of the content, starting with its first byte.
   std::string_view data() const { return {bytes_.get() + start_, std::min(size_, capacity_ - start_)}; }
   void consume(std::size_t count) {
     count = std::min(count, size_);
@@ -39,13 +40,13 @@
   }
   void clear() { consume(size_); }
 
-  // All held bytes.
+  // The whole content.
   std::string text() const {
     const std::string_view first = data();
     return std::string(first).append(bytes_.get(), size_ - first.size());
   }
 
-  // All of the text or, where it does not fit, nothing.
+  // Appends the whole text, or nothing if it does not fit.
   bool append(std::string_view text) {
     if (text.size() > room()) return false;
     while (!text.empty()) {
--- a/src/io/run_after.hpp
+++ b/src/io/run_after.hpp
@@ -1,4 +1,4 @@
-// Something that is done once, after a pause.
+// Runs an action once, after a delay.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/src/io/signals.hpp
+++ b/src/io/signals.hpp
@@ -1,6 +1,6 @@
-// Signals, taken one by one in the loop's turn. They are blocked for the process, so that each is either
-// handed out or can be asked for: a process that leaves its work to another passes on what it has not looked
-// at.
+// Receives signals one by one in the event loop. They are blocked for the process, so that each is either
+// passed to the callback or can be read with `read_pending`: a process that hands over to another passes on
+// the signals it has not handled.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -13,11 +13,11 @@
 
 class Signals {
  public:
-  // Blocks these from now on, in this thread and those that it starts. Throws std::system_error.
+  // Blocks these signals from now on, in this thread and in threads that it starts. Throws std::system_error.
   Signals(asio::io_context& io, std::initializer_list<int> numbers);
 
   void start(std::function<void(int)> on_signal);
-  // One that has come and was not handed out.
+  // Returns a pending signal that was not passed to the callback.
   std::optional<int> read_pending();
 
  private:
--- a/src/io/socket_error.cpp
+++ b/src/io/socket_error.cpp
@@ -18,7 +18,7 @@
     case ENOMEM:
     case EMFILE:
     case ENFILE:
-    case ENOSPC:  // of watches that epoll may hold
+    case ENOSPC:  // epoll watches
     case EADDRNOTAVAIL:
     case EADDRINUSE:
     case ENETDOWN:
@@ -33,12 +33,12 @@
   return classify_socket_error(error.value());
 }
 
-// As accept(2) lists them: errors of the network that are waiting on the new connection.
+// Pending network errors of the new connection, as listed in accept(2).
 bool affects_one_connection(int accept_error) {
   switch (accept_error) {
     case EINTR:
     case ECONNABORTED:
-    case EPERM:  // a firewall's rule
+    case EPERM:  // firewall rule
     case EPROTO:
     case ENOPROTOOPT:
     case EOPNOTSUPP:
--- a/src/io/socket_error.hpp
+++ b/src/io/socket_error.hpp
@@ -1,4 +1,4 @@
-// What the error of a socket's system call means for the one who made it: the one place that sorts them.
+// Classifies the errors of socket system calls by what the caller has to do.
 #pragma once
 
 #include <asio/error_code.hpp>
@@ -7,17 +7,19 @@
 
 enum class SocketError {
   none,
-  interrupted,     // the same call again, at once
-  not_ready,       // once the socket is ready
-  local_shortage,  // of memory, descriptors, ports or routes here: after a pause; tells nothing of the peer
-  peer,            // the connection is over, or never came up
+  interrupted,     // repeat the call at once
+  not_ready,       // repeat the call once the socket is ready
+  local_shortage,  // of memory, descriptors, ports or routes: repeat after a pause; says nothing about the
+                   // peer
+  peer,            // the connection has ended or was never established
 };
 
-// Of an errno; 0 is none.
+// Takes an errno; 0 means no error.
 SocketError classify_socket_error(int error);
 SocketError classify_socket_error(const asio::error_code& error);
 
-// Of accept4: whether only the connection that was to be accepted is gone, and the next one may be fine.
+// For an error of accept4: whether it affects only the connection to be accepted, so that the next one may
+// succeed.
 bool affects_one_connection(int accept_error);
 
 }  // namespace fennellane
--- a/src/io/unread_input.hpp
+++ b/src/io/unread_input.hpp
@@ -1,4 +1,4 @@
-// What waits to be read on a socket, without reading it.
+// Checks for unread input on a socket without reading it.
 #pragma once
 
 namespace fennellane {
@@ -7,10 +7,10 @@
   none,
   bytes,
   end,      // the peer has closed or reset the connection
-  unknown,  // for a shortage here
+  unknown,  // because of a local shortage
 };
 
-// Of a socket that is open; does not block.
+// Requires an open socket; does not block.
 UnreadInput peek_unread_input(int socket);
 
 }  // namespace fennellane
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// The log on standard error: whole lines in each form, and none that blocks.
+// The log on standard error: whole lines in each form, and no write that blocks.
 #include "log.hpp"
 
 #include <fcntl.h>
@@ -19,10 +19,10 @@
 namespace fennellane {
 namespace {
 
-// Standard error as a pipe, for as long as this lives.
+// Redirects standard error to a pipe for this object's lifetime.
 class ErrorPipe {
  public:
-  ErrorPipe() : kept_(::dup(STDERR_FILENO)) {
+  ErrorPipe() : saved_stderr_(::dup(STDERR_FILENO)) {
     if (::pipe(ends_.data()) != 0 || ::dup2(ends_[1], STDERR_FILENO) != STDERR_FILENO) {
       throw std::runtime_error("no pipe");
     }
@@ -35,25 +35,25 @@
   ErrorPipe(const ErrorPipe&) = delete;
   ErrorPipe& operator=(const ErrorPipe&) = delete;
 
-  // All that stands in it now.
-  std::string drained() const {
+  // The present content of the pipe.
+  std::string read_available() const {
     const int flags = ::fcntl(ends_[0], F_GETFL);
     ::fcntl(ends_[0], F_SETFL, flags | O_NONBLOCK);
-    const std::string text = read_on();
+    const std::string text = read_pipe();
     ::fcntl(ends_[0], F_SETFL, flags);
     return text;
   }
-  // Standard error as it was before, and whatever a blocked writer still writes taken off the pipe.
+  // Restores standard error and drains the pipe, which unblocks a writer.
   void restore() {
-    if (kept_ < 0) return;
-    ::dup2(kept_, STDERR_FILENO);
-    ::close(kept_);
-    kept_ = -1;
-    read_on();
+    if (saved_stderr_ < 0) return;
+    ::dup2(saved_stderr_, STDERR_FILENO);
+    ::close(saved_stderr_);
+    saved_stderr_ = -1;
+    read_pipe();
   }
 
  private:
-  std::string read_on() const {
+  std::string read_pipe() const {
     std::string text;
     char piece[4096];
     for (ssize_t n = 0; (n = ::read(ends_[0], piece, sizeof piece)) > 0;) {
@@ -63,7 +63,7 @@
   }
 
   std::array<int, 2> ends_{-1, -1};
-  int kept_;
+  int saved_stderr_;
 };
 
 std::vector<std::string> lines_of(const std::string& text) {
@@ -73,7 +73,7 @@
   return lines;
 }
 
-// Its field `msg`; the test fails where the line is no JSON object.
+// The `msg` field; the test fails if the line is not a JSON object.
 std::string message_in_json(const std::string& line) {
   Json::Value value;
   std::istringstream in(line);
@@ -82,14 +82,14 @@
   return value.isObject() ? value["msg"].asString() : "";
 }
 
-LogSettings in_form(LogFormat form) {
+LogSettings with_format(LogFormat form) {
   LogSettings settings;
   settings.format = form;
   return settings;
 }
 
-// Standard error on a pipe that nobody reads must not stop the one thread.
-TEST(LogPipe, ThatNobodyReadsBlocksNoLine) {
+// The relay has one thread, which must not block on a standard error that is a pipe nobody reads.
+TEST(LogPipe, NotBeingReadBlocksNoWriter) {
   ErrorPipe pipe;
   std::atomic<bool> done = false;
   std::thread writer([&] {
@@ -103,28 +103,28 @@
   EXPECT_TRUE(returned);
 }
 
-TEST(LogPipe, TellsHowManyLinesHadNoRoomInAWholeLine) {
+TEST(LogPipe, ReportsTheNumberOfDroppedLinesInAWholeLine) {
   ErrorPipe pipe;
-  Log log("n0", in_form(LogFormat::json));
+  Log log("n0", with_format(LogFormat::json));
   for (int i = 0; i < 1000; ++i) log.report(std::string(200, 'x'));
-  const std::size_t written = lines_of(pipe.drained()).size();
+  const std::size_t written = lines_of(pipe.read_available()).size();
   log.report("after");
-  const std::vector<std::string> lines = lines_of(pipe.drained());
+  const std::vector<std::string> lines = lines_of(pipe.read_available());
   ASSERT_EQ(lines.size(), 1u);
-  EXPECT_EQ(message_in_json(lines[0]), "after (" + std::to_string(1000 - written) + " lines had no room)");
+  EXPECT_EQ(message_in_json(lines[0]), "after (" + std::to_string(1000 - written) + " lines dropped)");
 }
 
-// A pipe takes 4,096 bytes in one piece; a longer line is cut, and stays one that its form allows.
+// A pipe takes 4,096 bytes in one atomic write; a longer line is truncated, and remains valid in its form.
 class LongLines : public testing::TestWithParam<char> {};
 
-TEST_P(LongLines, AreCutAndStayWhole) {
+TEST_P(LongLines, AreTruncatedAndRemainValid) {
   ErrorPipe pipe;
   constexpr std::size_t kPipePiece = 4096;  // bytes
   const std::string text(20000, GetParam());
-  Log(std::string("n0"), in_form(LogFormat::json)).report(text);
-  Log(std::string("n0"), in_form(LogFormat::logfmt)).report(text);
+  Log(std::string("n0"), with_format(LogFormat::json)).report(text);
+  Log(std::string("n0"), with_format(LogFormat::logfmt)).report(text);
   Log(std::string("n0")).report(text);
-  const std::vector<std::string> lines = lines_of(pipe.drained());
+  const std::vector<std::string> lines = lines_of(pipe.read_available());
   ASSERT_EQ(lines.size(), 3u);
   for (const std::string& line : lines) EXPECT_LT(line.size(), kPipePiece);
   EXPECT_GT(message_in_json(lines[0]).size(), 100u);
