--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -33,17 +33,17 @@
 
 }  // namespace
 
-// An object may be indented, and so go over several lines. Guards against half an object swallowing those
-// that come behind it: a beat, or a line that begins an object at its very start, cannot be a part of it.
+// A pretty-printed object spans several lines. Half an object must not absorb those after it: a heartbeat, or
+// a line that starts with an opening brace, cannot be part of it and makes it fail.
 bool Discovery::process_line(std::string_view line) {
-  const bool within = !partial_object_.text().empty();
-  if (is_blank(line)) return !within;
-  if (within && line.front() == '{') return false;
+  const bool inside_object = !partial_object_.text().empty();
+  if (is_blank(line)) return !inside_object;
+  if (inside_object && line.front() == '{') return false;
   partial_object_.add(line);
   if (!partial_object_.is_complete()) return true;
-  const bool good = process_list(partial_object_.text());
+  const bool ok = process_list(partial_object_.text());
   partial_object_.clear();
-  return good;
+  return ok;
 }
 
 Discovery::Discovery(asio::io_context& io, const Config& config, const Address& address, Counters& counters,
@@ -81,7 +81,7 @@
   version_ = 0;
   have_list_ = false;
   redirected_ = true;
-  retry_.reset();  // the pause that the old address's outage had earned is not the new one's
+  retry_.reset();  // the back-off caused by the old address does not apply to the new one
   client_.redirect(address);
   retry_timer_.cancel();
 }
@@ -105,16 +105,16 @@
   return "GET " + target + " HTTP/1.1\r\nHost: " + address_.text() + "\r\n\r\n";
 }
 
-// Guards against a line that cannot be read, or out of its place: it is logged and the connection dropped,
-// and the next watch brings what it said.
+// A line that is unreadable or out of order is logged and the connection dropped; the next watch delivers its
+// content.
 bool Discovery::process_list(std::string_view json) {
   try {
     HostList list = parse_hosts(json, config_.boot);
-    if (!list.full && !have_list_) throw ConfigError("changes came before a whole list");
-    // Guards against a line that comes once more undoing those behind it. Only the first one of a watch may
-    // go back, with a whole list, as from a discovery that has begun anew.
+    if (!list.full && !have_list_) throw ConfigError("received changes before a full list");
+    // A repeated older line must not undo later ones. Only the first line of a watch may carry an older
+    // version, and only as a full list, as from a discovery that was restarted.
     if (list.version < version_ && have_list_ && (lists_received_ > 0 || !list.full)) {
-      throw ConfigError("version " + std::to_string(list.version) + " came behind version " +
+      throw ConfigError("received version " + std::to_string(list.version) + " after version " +
                         std::to_string(version_));
     }
     ++lists_received_;
@@ -150,13 +150,13 @@
   std::string text;
   partial_object_.clear();
   lists_received_ = 0;
-  bool any = false;
+  bool received_line = false;
   while (!client_.answer().done()) {
-    // The beginning of the answer comes at once, or the connection is of no use.
-    const bool begun = client_.answer().head_done();
-    const bool good =
-        co_await client_.read(begun ? limits.discovery_silence_timeout : limits.discovery_answer_timeout);
-    if (!good) co_return any;
+    // The start of the answer is expected at once; the connection is dropped otherwise.
+    const bool head_received = client_.answer().head_done();
+    const bool ok = co_await client_.read(head_received ? limits.discovery_silence_timeout
+                                                        : limits.discovery_answer_timeout);
+    if (!ok) co_return received_line;
     if (client_.answer().head_done() && client_.answer().status() != 200) co_return false;
     if (client_.answer().head_done() && on_activity_ && !stopped_) on_activity_();
     text += client_.answer().take_body();
@@ -164,12 +164,12 @@
     for (std::size_t end; (end = text.find('\n', start)) != std::string::npos; start = end + 1) {
       const std::string_view line = std::string_view(text).substr(start, end - start);
       if (!process_line(line)) co_return false;
-      any = any || !is_blank(line);
+      received_line = received_line || !is_blank(line);
     }
     text.erase(0, start);
     if (text.size() + partial_object_.text().size() > limits.max_discovery_line) co_return false;
   }
-  co_return any;
+  co_return received_line;
 }
 
 asio::awaitable<void> Discovery::run() {
@@ -177,19 +177,19 @@
   while (!stopped_) {
     ++counters_.discovery_connects;
     redirected_ = false;
-    bool good = co_await client_.connect(limits.discovery_connect_timeout);
-    if (good && !have_list_) {
-      good = co_await fetch_list();
-      if (good && !client_.open()) good = co_await client_.connect(limits.discovery_connect_timeout);
+    bool ok = co_await client_.connect(limits.discovery_connect_timeout);
+    if (ok && !have_list_) {
+      ok = co_await fetch_list();
+      if (ok && !client_.open()) ok = co_await client_.connect(limits.discovery_connect_timeout);
     }
-    if (good) good = co_await watch_changes();
+    if (ok) ok = co_await watch_changes();
     client_.close();
     if (stopped_) break;
-    if (good) retry_.reset();
+    if (ok) retry_.reset();
     if (redirected_) continue;
     retry_timer_.expires_after(retry_.next_delay());
-    asio::error_code cut_short;
-    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
+    asio::error_code ignored;
+    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
--- a/src/platform/discovery.hpp
+++ b/src/platform/discovery.hpp
@@ -1,4 +1,5 @@
-// Keeps the cluster's list: the whole of it once, then a watch, taken up again whenever it ends.
+// Keeps the cluster's host list up to date: fetches the full list once, then watches for changes and reopens
+// the watch whenever it ends.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -18,13 +19,13 @@
 
 namespace fennellane {
 
-// The text of one JSON object, line by line; each byte is looked at once.
+// Assembles the text of one JSON object line by line; each byte is scanned once.
 class JsonObjectAssembler {
  public:
   void clear();
   void add(std::string_view line);
-  // As many brackets have closed as opened, those in strings aside. True of a text that is no JSON at all,
-  // which the parser refuses then.
+  // Whether all brackets outside strings are closed. Also true for text that is not JSON at all; the parser
+  // then rejects it.
   bool is_complete() const { return depth_ <= 0 && !in_string_; }
   const std::string& text() const { return text_; }
 
@@ -32,7 +33,7 @@
   std::string text_;
   int depth_ = 0;
   bool in_string_ = false;
-  bool escaped_ = false;  // the next character, in a string
+  bool escaped_ = false;  // the next character in a string is escaped
 };
 
 class Discovery : public ClusterSource, public std::enable_shared_from_this<Discovery> {
@@ -41,17 +42,18 @@
             OnHostList on_list);
   void start() override;
   void stop() override;
-  // This relay has the whole list of that version, from an earlier life: the watch begins there, and the list
-  // is not asked for. Before `start`.
+  // The relay already has the full list of this version, from a previous process: the watch starts there and
+  // the list is not fetched. Call before `start`.
   void set_known_version(std::uint64_t version);
-  // Called whenever the watch has brought something, be it an empty line. Before `start`.
-  void on_activity(std::function<void()> heard) { on_activity_ = std::move(heard); }
-  // Discovery is at another address now: its versions are of its own, so the whole list is fetched anew. The
-  // list that is held stands until then.
+  // Sets a callback for any input from the watch, including empty lines. Call before `start`.
+  void on_activity(std::function<void()> callback) { on_activity_ = std::move(callback); }
+  // Switches to a discovery at another address. Its versions are unrelated, so the full list is fetched
+  // again; the present list remains valid until then.
   void redirect(const Address& address);
-  // Where the watch stands, for another process, which takes it up there. Of another address it is of no use.
+  // Serializes the position of the watch, for handover to another process, which continues there. Ignored if
+  // the address differs.
   std::string save() const;
-  void load(std::string_view bytes);  // before `start`; throws starlinghook::MemoryError
+  void load(std::string_view bytes);  // before `start`; throws starlinghook::SnapshotError
 
  private:
   asio::awaitable<void> run();
@@ -66,17 +68,17 @@
   Counters& counters_;
   Log& log_;
   OnHostList on_list_;
-  std::function<void()> on_activity_;  // may be none
+  std::function<void()> on_activity_;  // may be empty
   Address address_;
   HttpClient client_;
-  asio::steady_timer retry_timer_;  // between two connections
+  asio::steady_timer retry_timer_;  // delay between two connections
   RetryBackoff retry_;
-  JsonObjectAssembler partial_object_;  // of a watch, the lines of one that is not whole yet
+  JsonObjectAssembler partial_object_;  // the lines of an incomplete object, in a watch
   std::uint64_t version_ = 0;
-  std::size_t lists_received_ = 0;  // of the present watch that were taken
+  std::size_t lists_received_ = 0;  // in the present watch
   bool have_list_ = false;
   bool stopped_ = false;
-  bool redirected_ = false;  // since the newest connection began
+  bool redirected_ = false;  // since the last connection was started
 };
 
 }  // namespace fennellane
--- a/src/platform/merged_host_list.hpp
+++ b/src/platform/merged_host_list.hpp
@@ -1,4 +1,4 @@
-// The list as a source has told it so far: a whole one, and the changes since. No input or output.
+// Merges a full host list with the changes since. Pure state: performs no I/O.
 #pragma once
 
 #include <map>
@@ -22,7 +22,7 @@
       }
     }
   }
-  // Whether a whole list has been told at all: changes alone make none.
+  // Whether a full list has been received; changes alone do not make one.
   bool has_full_list() const { return has_full_list_; }
   HostList full_list() const {
     HostList list;
--- a/src/platform/notices.cpp
+++ b/src/platform/notices.cpp
@@ -12,7 +12,7 @@
 namespace fennellane {
 
 namespace {
-// What became of a batch, as a status of HTTP.
+// Results of sending a batch, as HTTP status codes.
 constexpr unsigned kNoAnswer = 0, kAccepted = 204, kUnreadable = 400;
 }  // namespace
 
@@ -27,12 +27,12 @@
 }
 
 Notices::Notices(asio::io_context& io, const Config& config, Counters& counters, Log& log,
-                 OnAccepted on_taken)
+                 OnAccepted on_accepted)
     : io_(io),
       config_(config),
       counters_(counters),
       log_(log),
-      on_accepted_(std::move(on_taken)),
+      on_accepted_(std::move(on_accepted)),
       address_(config.discovery),
       client_(io, address_, config.limits, config.limits.max_body_size),
       wake_timer_(io),
@@ -75,13 +75,13 @@
   std::string text = "POST /v1/notices HTTP/1.1\r\nHost: " + address_.text() +
                      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
                      "\r\n\r\n" + body;
-  const auto begun = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   const bool sent = co_await client_.send(std::move(text), answer_timeout_);
   if (!sent) co_return kNoAnswer;
   const bool answered = co_await client_.read_answer(answer_timeout_);
   if (!answered) co_return kNoAnswer;
-  const auto took = std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - begun);
-  answer_timeout_ = std::clamp(took * 2, limits.notice_timeout_min, limits.notice_timeout_max);
+  const auto duration = std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - started_at);
+  answer_timeout_ = std::clamp(duration * 2, limits.notice_timeout_min, limits.notice_timeout_max);
   co_return client_.answer().status();
 }
 
@@ -89,8 +89,8 @@
   while (true) {
     if (pending_lines_.empty()) {
       wake_timer_.expires_at(asio::steady_timer::time_point::max());
-      asio::error_code woken;
-      co_await wake_timer_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+      asio::error_code ignored;
+      co_await wake_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
       continue;
     }
     const std::size_t count = next_batch_size();
@@ -120,9 +120,9 @@
     retry_.reset();
     return true;
   }
-  // Guards against one line that is never taken holding up all that follow.
+  // A single line that is never accepted must not block all lines after it.
   if (status != kUnreadable || count != 1) return false;
-  log_("notices", "the platform cannot read " + pending_lines_.front().text);
+  log_("notices", "the platform rejected the notice " + pending_lines_.front().text);
   return true;
 }
 
@@ -135,15 +135,15 @@
 }
 
 asio::awaitable<void> Notices::back_off(unsigned status) {
-  // Guards against a platform that is slow, not silent, never being waited for long enough.
+  // Doubles the timeout, so that a slow platform is eventually given enough time.
   if (status == kNoAnswer) answer_timeout_ = std::min(answer_timeout_ * 2, config_.limits.notice_timeout_max);
-  // Guards against a batch refused for one of its lines: they go one by one.
+  // A batch may be rejected because of one line, so lines are sent one by one from now on.
   if (status == kUnreadable) max_batch_lines_ = 1;
   client_.close();
   if (!redirected_) {
     retry_timer_.expires_after(retry_.next_delay());
-    asio::error_code cut_short;
-    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
+    asio::error_code ignored;
+    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
   if (redirected_) retry_.reset();
 }
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,4 +1,4 @@
-// The program while system calls fail for a moment, made so by a library that is preloaded into it.
+// The program while system calls fail transiently, by a fault-injection library that is preloaded into it.
 #include <fcntl.h>
 #include <signal.h>
 #include <unistd.h>
@@ -12,18 +12,17 @@
 namespace fennellane::test {
 namespace {
 
-// A relay into which the library is preloaded. With `while_on` its rules hold only while they are switched
-// on.
+// A relay with the fault-injection library. With `switched` its rules apply only while they are switched on.
 class FaultyRelay {
  public:
-  FaultyRelay(const std::string& discovery, const std::string& rules, bool while_on = false,
+  FaultyRelay(const std::string& discovery, const std::string& rules, bool switched = false,
               ConfigParts parts = {})
       : program(discovery, std::move(parts)), switch_(program.folder() + "/faults") {
     program.set_variable("LD_PRELOAD", FENNELLANE_FAULT_SHIM);
-    // The library comes before the sanitizers' own.
+    // The library is loaded before the sanitizers' runtime.
     program.set_variable("ASAN_OPTIONS", "verify_asan_link_order=0");
     program.set_variable("FENNELLANE_FAULTS", rules);
-    if (while_on) program.set_variable("FENNELLANE_FAULT_SWITCH", switch_);
+    if (switched) program.set_variable("FENNELLANE_FAULT_SWITCH", switch_);
   }
   void switch_on() const { std::ofstream(switch_) << "on"; }
   void switch_off() const { fs::remove(switch_); }
@@ -34,13 +33,13 @@
   const std::string switch_;
 };
 
-std::string up() { return "GET /up HTTP/1.1\r\n\r\n"; }
+std::string up_request() { return "GET /up HTTP/1.1\r\n\r\n"; }
 
-// What a client keeps open while the relay's calls fail.
-class Client {
+// A connection that a client keeps open while the relay's system calls fail.
+class TestClient {
  public:
-  explicit Client(const RelayProgram& relay) : socket_(relay.connected(io_)) {}
-  // The status of the answer; 0 if none comes within the limit.
+  explicit TestClient(const RelayProgram& relay) : socket_(relay.connected(io_)) {}
+  // The status of the answer; 0 if none arrives within the limit.
   unsigned ask(const std::string& text, milliseconds limit = seconds(10)) {
     asio::error_code error;
     asio::write(socket_, asio::buffer(text), error);
@@ -68,18 +67,18 @@
   tcp::socket socket_;
 };
 
-struct Scene {
-  explicit Scene(const std::string& rules, bool while_on = false, ConfigParts parts = {})
+struct Fixture {
+  explicit Fixture(const std::string& rules, bool switched = false, ConfigParts parts = {})
       : host([](const Request&) { return answer("200 OK"); }),
         platform({{"h0", host.address()}}),
-        relay(platform.address(), rules, while_on, std::move(parts)) {}
+        relay(platform.address(), rules, switched, std::move(parts)) {}
   Server host;
   Platform platform;
   FaultyRelay relay;
   RelayProgram& program = relay.program;
 };
 
-// The rules as a test's name.
+// The rules as a test name.
 std::string rules_name(const testing::TestParamInfo<const char*>& info) {
   std::string name = info.param;
   for (char& c : name) {
@@ -91,12 +90,12 @@
 // --- A start
 class StartFaults : public testing::TestWithParam<const char*> {};
 
-TEST_P(StartFaults, AreOutlivedWhereTheyPass) {
-  Scene scene(GetParam());
-  scene.program.start();
-  EXPECT_EQ(scene.program.ask(request_text()), 202u);
-  EXPECT_TRUE(happens([&] { return scene.host.count("a1") == 1; }));
-  EXPECT_EQ(scene.program.end(SIGTERM), 0) << scene.program.log();
+TEST_P(StartFaults, AreSurvivedIfTransient) {
+  Fixture fixture(GetParam());
+  fixture.program.start();
+  EXPECT_EQ(fixture.program.ask(request_text()), 202u);
+  EXPECT_TRUE(happens([&] { return fixture.host.count("a1") == 1; }));
+  EXPECT_EQ(fixture.program.end(SIGTERM), 0) << fixture.program.log();
 }
 INSTANTIATE_TEST_SUITE_P(OfTheStateFolder, StartFaults,
                          testing::Values("call=open errno=EIO path=/state to_ms=700",
@@ -123,26 +122,26 @@
 // --- The disk while the relay serves
 class DiskFaults : public testing::TestWithParam<const char*> {};
 
-TEST_P(DiskFaults, EndNoProcessAndLoseNothing) {
-  Scene scene(GetParam(), true);
-  scene.program.start();
-  ASSERT_EQ(scene.program.ask(request_text("before")), 202u);
-  ASSERT_TRUE(happens([&] { return scene.program.counter("delivered") == 1; }));
-  scene.relay.switch_on();
-  std::size_t refused = 0, taken = 0;
+TEST_P(DiskFaults, TerminateNoProcessAndLoseNoMessage) {
+  Fixture fixture(GetParam(), true);
+  fixture.program.start();
+  ASSERT_EQ(fixture.program.ask(request_text("before")), 202u);
+  ASSERT_TRUE(happens([&] { return fixture.program.counter("delivered") == 1; }));
+  fixture.relay.switch_on();
+  std::size_t refused = 0, accepted = 0;
   for (int i = 0; i < 40; ++i) {
-    const unsigned status = scene.program.ask(request_text("on" + std::to_string(i), "hello", "pay"));
-    ASSERT_TRUE(status == 503 || status == 202) << status << "\n" << scene.program.log();
-    ++(status == 503 ? refused : taken);
+    const unsigned status = fixture.program.ask(request_text("on" + std::to_string(i), "hello", "pay"));
+    ASSERT_TRUE(status == 503 || status == 202) << status << "\n" << fixture.program.log();
+    ++(status == 503 ? refused : accepted);
   }
   EXPECT_GT(refused, 0u);
-  scene.relay.switch_off();
-  EXPECT_TRUE(happens([&] { return scene.program.ask(request_text("after", "hello", "pay")) == 202; }));
-  EXPECT_TRUE(happens([&] { return scene.program.counter("delivered") >= taken + 2; }))
-      << scene.program.log();
-  for (const Request& r : scene.host.requests()) EXPECT_EQ(scene.host.count(r.id), 1u) << r.id;
-  EXPECT_EQ(scene.program.logged("storage: fails"), scene.program.logged("storage: writes again"));
-  EXPECT_EQ(scene.program.end(SIGTERM), 0) << scene.program.log();
+  fixture.relay.switch_off();
+  EXPECT_TRUE(happens([&] { return fixture.program.ask(request_text("after", "hello", "pay")) == 202; }));
+  EXPECT_TRUE(happens([&] { return fixture.program.counter("delivered") >= accepted + 2; }))
+      << fixture.program.log();
+  for (const Request& r : fixture.host.requests()) EXPECT_EQ(fixture.host.count(r.id), 1u) << r.id;
+  EXPECT_EQ(fixture.program.logged("storage: fails"), fixture.program.logged("storage: writes again"));
+  EXPECT_EQ(fixture.program.end(SIGTERM), 0) << fixture.program.log();
 }
 INSTANTIATE_TEST_SUITE_P(Journal, DiskFaults,
                          testing::Values("call=write errno=ENOSPC path=/state",
@@ -152,8 +151,8 @@
                                          "call=ftruncate errno=EIO path=/state"),
                          rules_name);
 
-// An end whose record fails is told all the same, and the next life does not bring the message back.
-TEST(DiskFault, AnEndWhoseRecordFailsIsToldAndRecordedLater) {
+// The end of a message is reported even if recording it fails, and a restart does not restore the message.
+TEST(DiskFault, EndWhoseRecordFailsIsReportedAndRecordedLater) {
   std::atomic<bool> answers = false;
   Server host([&](const Request&) {
     while (!answers) std::this_thread::sleep_for(milliseconds(5));
@@ -178,9 +177,10 @@
 // --- The wall clock
 class ClockSteps : public testing::TestWithParam<const char*> {};
 
-TEST_P(ClockSteps, BetweenTwoLivesEndNoMessageEarlyOrLate) {
+TEST_P(ClockSteps, BetweenTwoProcessesEndNoMessageEarlyOrLate) {
   std::atomic<bool> answers = false;
-  // The wait keeps a second try from being out at the kill; it ends with the process that heard it.
+  // The requested wait keeps a second attempt from being in flight at the kill; it is not kept across the
+  // restart.
   Server host([&](const Request&) {
     return answers ? answer("200 OK") : answer("429 Wait", "", "X-Come-Back-Ms: 12000\r\n");
   });
@@ -188,7 +188,8 @@
   FaultyRelay relay(platform.address(), "");
   relay.program.start();
   ASSERT_EQ(relay.program.ask(request_text("m1", "hello", "pay")), 202u);
-  // Not when the host has seen the call, but when its refusal is recorded: until then m1 may have run.
+  // Waits until the refusal is recorded, not only until the host has received the call: before that m1 may
+  // have run.
   ASSERT_TRUE(happens([&] { return relay.program.counter("answer.full") == 1; }));
   relay.program.end(SIGKILL);
   relay.program.set_variable("FENNELLANE_FAULT_CLOCK_S", GetParam());
@@ -201,38 +202,38 @@
 INSTANTIATE_TEST_SUITE_P(ByAnHour, ClockSteps, testing::Values("3600", "-3600"), rules_name);
 
 // --- Sockets
-// A client that is gone before it is accepted must not stop the loop until the next one comes.
-TEST(SocketFault, AnAbortedConnectionDoesNotBlockTheLoop) {
-  Scene scene("call=accept errno=ECONNABORTED count=1", true);
-  scene.program.start();
-  Client client(scene.program);
-  ASSERT_EQ(client.ask(up()), 200u);
-  scene.relay.switch_on();
+// A client that disconnects before it is accepted must not block the loop until the next one connects.
+TEST(SocketFault, AbortedConnectionDoesNotBlockTheLoop) {
+  Fixture fixture("call=accept errno=ECONNABORTED count=1", true);
+  fixture.program.start();
+  TestClient client(fixture.program);
+  ASSERT_EQ(client.ask(up_request()), 200u);
+  fixture.relay.switch_on();
   asio::io_context io;
-  tcp::socket aborted = scene.program.connected(io);
+  tcp::socket aborted = fixture.program.connected(io);
   std::this_thread::sleep_for(milliseconds(200));
-  EXPECT_EQ(client.ask(up(), seconds(5)), 200u);
+  EXPECT_EQ(client.ask(up_request(), seconds(5)), 200u);
 }
 
 class CallFaults : public testing::TestWithParam<const char*> {};
 
-// Of a call: what fails here is not the host's fault, and costs the message no attempt.
-TEST_P(CallFaults, AreNoFailureOfTheHost) {
-  Scene scene(GetParam(), true);
-  scene.program.start();
-  ASSERT_EQ(scene.program.ask(request_text("m0")), 202u);
-  ASSERT_TRUE(happens([&] { return scene.program.counter("delivered") == 1; }));
-  Client client(scene.program);
-  ASSERT_EQ(client.ask(up()), 200u);
-  scene.relay.switch_on();
+// A local failure is not the host's fault and costs the message no attempt.
+TEST_P(CallFaults, AreNotCountedAsHostFailures) {
+  Fixture fixture(GetParam(), true);
+  fixture.program.start();
+  ASSERT_EQ(fixture.program.ask(request_text("m0")), 202u);
+  ASSERT_TRUE(happens([&] { return fixture.program.counter("delivered") == 1; }));
+  TestClient client(fixture.program);
+  ASSERT_EQ(client.ask(up_request()), 200u);
+  fixture.relay.switch_on();
   EXPECT_EQ(client.ask(request_text("m1", "hello", "pay")), 202u);
   std::this_thread::sleep_for(milliseconds(100));
-  scene.relay.switch_off();
-  EXPECT_TRUE(happens([&] { return scene.program.counter("delivered") == 2; })) << scene.program.log();
-  EXPECT_EQ(scene.host.count("m1"), 1u);
-  EXPECT_EQ(scene.program.counter("sent"), 2u);
-  EXPECT_EQ(scene.program.counter("answer.connect_failed"), 0u);
-  EXPECT_EQ(scene.program.counter("answer.reset"), 0u);
+  fixture.relay.switch_off();
+  EXPECT_TRUE(happens([&] { return fixture.program.counter("delivered") == 2; })) << fixture.program.log();
+  EXPECT_EQ(fixture.host.count("m1"), 1u);
+  EXPECT_EQ(fixture.program.counter("sent"), 2u);
+  EXPECT_EQ(fixture.program.counter("answer.connect_failed"), 0u);
+  EXPECT_EQ(fixture.program.counter("answer.reset"), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(OfTheSystem, CallFaults,
                          testing::Values("call=send errno=EINTR count=1", "call=send errno=ENOBUFS count=2",
@@ -242,18 +243,18 @@
 
 class ConnectFaults : public testing::TestWithParam<const char*> {};
 
-TEST_P(ConnectFaults, AreNoFailureOfTheHost) {
-  Scene scene(GetParam(), true);
-  scene.program.start();
-  Client client(scene.program);
-  ASSERT_EQ(client.ask(up()), 200u);
-  scene.relay.switch_on();
+TEST_P(ConnectFaults, AreNotCountedAsHostFailures) {
+  Fixture fixture(GetParam(), true);
+  fixture.program.start();
+  TestClient client(fixture.program);
+  ASSERT_EQ(client.ask(up_request()), 200u);
+  fixture.relay.switch_on();
   EXPECT_EQ(client.ask(request_text("m1", "hello", "pay")), 202u);
   std::this_thread::sleep_for(milliseconds(100));
-  scene.relay.switch_off();
-  EXPECT_TRUE(happens([&] { return scene.program.counter("delivered") == 1; })) << scene.program.log();
-  EXPECT_EQ(scene.program.counter("sent"), 1u);
-  EXPECT_EQ(scene.program.counter("answer.connect_failed"), 0u);
+  fixture.relay.switch_off();
+  EXPECT_TRUE(happens([&] { return fixture.program.counter("delivered") == 1; })) << fixture.program.log();
+  EXPECT_EQ(fixture.program.counter("sent"), 1u);
+  EXPECT_EQ(fixture.program.counter("answer.connect_failed"), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(OfTheSystem, ConnectFaults,
                          testing::Values("call=connect errno=EADDRNOTAVAIL", "call=connect errno=ENETUNREACH",
