--- a/src/handover/frame.cpp
+++ b/src/handover/frame.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr char kMagic[4] = {'F', 'N', 'H', 'O'};
-struct FrameHeader {  // as it goes over; both sides are on one machine
+struct FrameHeader {  // as sent, in host byte order: both processes run on one machine
   char magic[4];
   std::uint32_t type;
   std::uint64_t size;
@@ -52,8 +52,8 @@
     v["generation"] = Json::UInt64(m.generation);
     return json_text(v);
   }
-  template <class Plain>
-  std::string operator()(const Plain&) const {
+  template <class Empty>
+  std::string operator()(const Empty&) const {
     return "";
   }
 };
@@ -92,7 +92,7 @@
   }
 }
 
-// Of the type too: most messages have no body that would tell one from another.
+// Includes the type, since most messages have an empty body.
 std::uint64_t frame_checksum(std::uint32_t type, std::string_view body) {
   return XXH3_64bits_withSeed(body.data(), body.size(), type);
 }
@@ -103,29 +103,29 @@
 
 std::string encode(const Message& message) {
   const std::string body = std::visit(BodyEncoder{}, message);
-  FrameHeader head{};
-  std::memcpy(head.magic, kMagic, sizeof kMagic);
-  head.type = static_cast<std::uint32_t>(message.index());
-  head.size = body.size();
-  head.checksum = frame_checksum(head.type, body);
-  std::string out(sizeof head, '\0');
-  std::memcpy(out.data(), &head, sizeof head);
-  return out + body;
+  FrameHeader header{};
+  std::memcpy(header.magic, kMagic, sizeof kMagic);
+  header.type = static_cast<std::uint32_t>(message.index());
+  header.size = body.size();
+  header.checksum = frame_checksum(header.type, body);
+  std::string frame(sizeof header, '\0');
+  std::memcpy(frame.data(), &header, sizeof header);
+  return frame + body;
 }
 
 std::optional<Message> FrameReader::next() {
-  FrameHeader head;
-  if (bytes_.size() < sizeof head) return std::nullopt;
-  std::memcpy(&head, bytes_.data(), sizeof head);
-  if (std::memcmp(head.magic, kMagic, sizeof kMagic) != 0) throw FrameError("this is no handover message");
-  if (head.type >= kMessageTypes) throw FrameError("a handover message of an unknown type");
-  if (head.size > max_body_bytes_) throw FrameError("a handover message is too long");
-  if (bytes_.size() - sizeof head < head.size) return std::nullopt;
-  std::string body = bytes_.substr(sizeof head, head.size);
-  bytes_.erase(0, sizeof head + head.size);
-  if (frame_checksum(head.type, body) != head.checksum) throw FrameError("a handover message is damaged");
+  FrameHeader header;
+  if (bytes_.size() < sizeof header) return std::nullopt;
+  std::memcpy(&header, bytes_.data(), sizeof header);
+  if (std::memcmp(header.magic, kMagic, sizeof kMagic) != 0) throw FrameError("this is no handover message");
+  if (header.type >= kMessageTypes) throw FrameError("a handover message of an unknown type");
+  if (header.size > max_body_bytes_) throw FrameError("a handover message is too long");
+  if (bytes_.size() - sizeof header < header.size) return std::nullopt;
+  std::string body = bytes_.substr(sizeof header, header.size);
+  bytes_.erase(0, sizeof header + header.size);
+  if (frame_checksum(header.type, body) != header.checksum) throw FrameError("a handover message is damaged");
   try {
-    return decode(head.type, std::move(body));
+    return decode(header.type, std::move(body));
   } catch (const Json::Exception&) {
     throw FrameError("a handover message cannot be read");
   }
--- a/src/handover/frame.hpp
+++ b/src/handover/frame.hpp
@@ -1,5 +1,5 @@
-// Handover messages as bytes: a magic, the message's type, its length and XXH3 checksum, then its body. The
-// bodies of all but State are JSON, so that a later version may add to them; State's is its bytes.
+// Framing of handover messages: a magic number, the message type, the body's length and XXH3 checksum, then
+// the body. Bodies are JSON, so that a later version can add members; only State has a binary body.
 #pragma once
 
 #include <cstddef>
@@ -23,9 +23,9 @@
 
 class FrameReader {
  public:
-  explicit FrameReader(std::size_t most_body = 4 * kMiB) : max_body_bytes_(most_body) {}
+  explicit FrameReader(std::size_t max_body_bytes = 4 * kMiB) : max_body_bytes_(max_body_bytes) {}
   void feed(std::string_view bytes) { bytes_ += bytes; }
-  // The next whole message, if there is one. Throws FrameError for what is none; the connection is of no use
+  // The next complete message, if any. Throws FrameError for an invalid frame; the connection is unusable
   // then.
   std::optional<Message> next();
 
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -46,8 +46,8 @@
 }
 
 void OldSide::on(const MessageReceived& r) {
-  // Guards against a peer that took over just as its time ran out: it has served, if only for a moment, and
-  // nobody but the journal knows what it did.
+  // A peer may take over just as its timeout expires. It has then served, however briefly, and only the
+  // journal knows what it did.
   if (fenced_ && std::holds_alternative<TakeoverConfirmed>(r.message)) {
     if (step_ == Step::going) return exit_after_handover();
     peer_took_over_ = true;
@@ -73,9 +73,9 @@
   abort_upgrade("a message came out of its place");
 }
 
-void OldSide::on(const ChannelFailed& s) {
+void OldSide::on(const ChannelFailed& c) {
   if (step_ == Step::idle || step_ == Step::left || step_ == Step::killing) return;
-  abort_upgrade(s.reason);
+  abort_upgrade(c.reason);
 }
 
 void OldSide::on(const StateSent& s) {
@@ -86,10 +86,10 @@
 
 void OldSide::on(const FenceWritten& f) {
   if (step_ == Step::reclaiming) {
-    // Guards against going on without the journal: a process that can't take it back ends, and the next life
-    // reads what is there.
+    // Without the journal this process must not serve. If it cannot reclaim it, it restarts and reads what
+    // the journal holds.
     if (!f.failure.empty()) {
-      effects_.push_back(LogMessage{"the journal cannot be taken back: " + f.failure});
+      effects_.push_back(LogMessage{"the journal cannot be reclaimed: " + f.failure});
       return restart_from_journal();
     }
     fenced_ = false;
@@ -99,7 +99,7 @@
   if (step_ != Step::fencing) return;
   fence_pending_ = false;
   fenced_ = f.failure.empty();
-  // What came while the fence was on its way counts now that it is known on which side it left the journal.
+  // Events that arrived while the fence was being written are handled now that the journal's owner is known.
   if (std::exchange(peer_exited_, false)) return recover_after_peer_exit();
   if (!fenced_) return abort_upgrade("the fence cannot be written: " + f.failure);
   if (!pending_abort_reason_.empty()) return abort_upgrade(std::exchange(pending_abort_reason_, {}));
@@ -108,7 +108,7 @@
   set_timer(limits_.takeover_timeout);
 }
 
-// All that the peer had sent before its end has been received, so a `taken` would have been seen.
+// Everything the peer sent before it exited has been received, so a TakeoverConfirmed would have been seen.
 void OldSide::on(const PeerExited&) {
   effects_.push_back(StopTimer{});
   switch (step_) {
@@ -127,7 +127,7 @@
   recover_after_peer_exit();
 }
 
-// The peer is dead for certain.
+// The peer has been reaped.
 void OldSide::recover_after_peer_exit() {
   if (peer_took_over_) return restart_from_journal();
   if (!fenced_) return thaw();
@@ -138,17 +138,17 @@
 void OldSide::on(const TimerExpired&) {
   if (step_ == Step::idle || step_ == Step::left || step_ == Step::killing || step_ == Step::reclaiming)
     return;
-  if (step_ == Step::fencing) return;  // it was stopped
+  if (step_ == Step::fencing) return;  // the timer was stopped
   abort_upgrade(std::string("the new program is too slow at step ") + step_name(step_));
 }
 
-// The peer is killed first, and only its end opens the way back.
-void OldSide::abort_upgrade(const std::string& why) {
+// Kills the peer; serving resumes only after it has been reaped.
+void OldSide::abort_upgrade(const std::string& reason) {
   if (fence_pending_) {
-    pending_abort_reason_ = why;
+    pending_abort_reason_ = reason;
     return;
   }
-  effects_.push_back(LogMessage{why + "; the old one serves on"});
+  effects_.push_back(LogMessage{reason + "; the old one serves on"});
   effects_.push_back(StopTimer{});
   effects_.push_back(KillPeer{});
   step_ = Step::killing;
@@ -161,7 +161,7 @@
 }
 
 void OldSide::restart_from_journal() {
-  effects_.push_back(LogMessage{"this process starts anew from the journal, as after a crash"});
+  effects_.push_back(LogMessage{"this process restarts from the journal, as after a crash"});
   effects_.push_back(StopTimer{});
   step_ = Step::left;
   effects_.push_back(RestartFromJournal{});
@@ -197,7 +197,7 @@
   if (step_ == Step::ended || step_ == Step::serving) return;
   if (const Offer* offer = std::get_if<Offer>(&r.message); offer && step_ == Step::waiting) {
     offer_ = *offer;
-    // Only what both know goes over. An older or a newer format is no reason to guess.
+    // Formats must match exactly; neither an older nor a newer one is converted.
     if (offer->versions.handover != versions_.handover) {
       return refuse("it knows handover format " + std::to_string(versions_.handover) + ", not " +
                     std::to_string(offer->versions.handover));
@@ -221,36 +221,36 @@
     effects_.push_back(BuildState{*end});
     return;
   }
-  if (const TakeOver* go = std::get_if<TakeOver>(&r.message); go && step_ == Step::ready) {
-    if (go->generation != offer_.generation + 1) return abort_handover("told to go as another generation");
-    // Before anything else: its arrival is what the old side may rest on.
+  if (const TakeOver* take_over = std::get_if<TakeOver>(&r.message); take_over && step_ == Step::ready) {
+    if (take_over->generation != offer_.generation + 1)
+      return abort_handover("the old process names an unexpected generation");
+    // Before anything else: once this arrives, the old side exits.
     effects_.push_back(Send{TakeoverConfirmed{}});
-    return start_serving(go->generation);
+    return start_serving(take_over->generation);
   }
-  abort_handover("a message came out of its place");
+  abort_handover("unexpected message");
 }
 
-void NewSide::on(const PreparationFinished& c) {
+void NewSide::on(const PreparationFinished& p) {
   if (step_ != Step::checking && step_ != Step::building) return;
-  if (!c.failure.empty()) return refuse(c.failure);
+  if (!p.failure.empty()) return refuse(p.failure);
   const bool built = step_ == Step::building;
   step_ = built ? Step::ready : Step::accepted;
   effects_.push_back(Send{built ? Message(Ready{}) : Message(Accept{})});
 }
 
-void NewSide::on(const ChannelFailed& s) {
+void NewSide::on(const ChannelFailed& c) {
   if (step_ == Step::ended || step_ == Step::serving) return;
-  abort_handover(s.reason);
+  abort_handover(c.reason);
 }
 
-// The old side thaws only over this one's corpse: if it is the old one that died, it did so frozen, and the
-// state that is here is all there is.
+// The old side thaws only after this process has been reaped. So if the old process exits first, it was still
+// frozen, and the state received here is current.
 void NewSide::on(const PeerExited&) {
   if (step_ == Step::ended || step_ == Step::serving || step_ == Step::claiming) return;
-  if (step_ != Step::ready) return abort_handover("the old process ended before its state was here");
+  if (step_ != Step::ready) return abort_handover("the old process ended before its state was complete");
   step_ = Step::claiming;
-  effects_.push_back(
-      LogMessage{"the old process ended with its state handed over: this one goes on with it"});
+  effects_.push_back(LogMessage{"the old process ended after sending its state: this one continues with it"});
   effects_.push_back(WriteFence{offer_.generation + 1});
 }
 
@@ -262,14 +262,14 @@
 
 void NewSide::on(const TimerExpired&) {}
 
-void NewSide::refuse(const std::string& why) {
-  effects_.push_back(Send{Refuse{why}});
-  abort_handover(why);
+void NewSide::refuse(const std::string& reason) {
+  effects_.push_back(Send{Refuse{reason}});
+  abort_handover(reason);
 }
 
-void NewSide::abort_handover(const std::string& why) {
+void NewSide::abort_handover(const std::string& reason) {
   step_ = Step::ended;
-  effects_.push_back(LogMessage{why});
+  effects_.push_back(LogMessage{reason});
   effects_.push_back(Exit{});
 }
 
--- a/src/handover/handover.hpp
+++ b/src/handover/handover.hpp
@@ -1,21 +1,24 @@
-// The handover of a relay's work from a running process, the old side, to one that it has started, the new
-// side: both sides' decisions, without input, output or clock. See docs/upgrade.md.
+// Protocol of a hot upgrade: a running process (the old side) hands its work over to a process that it has
+// started (the new side). Pure state machines for both sides: they perform no I/O and read no clock. See
+// docs/upgrade.md.
 //
 //   old                                   new
-//   offer  ------------------------------>  versions and configuration are looked at
+//   offer  ------------------------------>  checks versions and configuration
 //          <------------------------------  accept | refuse
 //   freeze: reads, writes, sends and records nothing
-//   state, state_end -------------------->  all is checked and built, and nothing touched
+//   state, state_end -------------------->  checks the state and builds from it, without side effects
 //          <------------------------------  ready
-//   fence: the journal's last record of this owner names the next one
-//   go ---------------------------------->
-//          <------------------------------  taken, before anything else
-//   leave                                   serve
+//   fence: the last journal record of this owner names the next owner
+//   take over --------------------------->
+//          <------------------------------  takeover confirmed, before anything else
+//   exit                                    serve
 //
-// Rules that all else rests on:
-// - The old side thaws only when the new one is dead for certain (killed and reaped), so never beside it.
-// - The new side touches no socket and no journal before `go`, or before the old one is known to be dead.
-// - The journal belongs to the generation that its newest fence names. Who is fenced off can't append.
+// Invariants:
+// - The old side thaws only once the new process is known to be dead (killed and reaped), so the two never
+//   serve at the same time.
+// - The new side touches no socket and no journal before `TakeOver`, or before the old process is known to be
+//   dead.
+// - The journal belongs to the generation that its newest fence names. A fenced-off owner cannot append.
 #pragma once
 
 #include <chrono>
@@ -29,18 +32,18 @@
 
 namespace fennellane::handover {
 
-using Time = std::chrono::microseconds;  // a point on the caller's clock, or a span
-using Generation = std::uint64_t;        // of the journal's owner
+using Time = std::chrono::microseconds;  // a point on the caller's clock, or a duration
+using Generation = std::uint64_t;        // identifies an owner of the journal
 
-// --- What goes over the connection between the two
+// --- Messages between the two processes
 struct Versions {
-  std::uint32_t handover = 2;  // of these messages and of the state
-  std::uint32_t journal = 1;   // of the journal's records
+  std::uint32_t handover = 2;  // format of these messages and of the state
+  std::uint32_t journal = 1;   // format of the journal's records
   bool operator==(const Versions&) const = default;
 };
 struct Offer {
   Versions versions;
-  Generation generation = 0;  // of the old side
+  Generation generation = 0;  // the old side's
   bool operator==(const Offer&) const = default;
 };
 struct Accept {
@@ -51,20 +54,20 @@
   bool operator==(const Refuse&) const = default;
 };
 struct State {
-  std::string bytes;  // a part of the whole
+  std::string bytes;  // one chunk of the state
   bool operator==(const State&) const = default;
 };
 struct StateEnd {
-  std::uint64_t size = 0;           // of all parts
-  std::uint64_t checksum = 0;       // XXH3, 64 bits, of all parts
-  std::uint64_t journal_bytes = 0;  // the journal's length while its owner is frozen
+  std::uint64_t size = 0;           // of all chunks
+  std::uint64_t checksum = 0;       // XXH3, 64 bits, of all chunks
+  std::uint64_t journal_bytes = 0;  // length of the journal while its owner is frozen
   bool operator==(const StateEnd&) const = default;
 };
 struct Ready {
   bool operator==(const Ready&) const = default;
 };
 struct TakeOver {
-  Generation generation = 0;  // that the fence names
+  Generation generation = 0;  // the one that the fence names
   bool operator==(const TakeOver&) const = default;
 };
 struct TakeoverConfirmed {
@@ -72,51 +75,49 @@
 };
 using Message = std::variant<Offer, Accept, Refuse, State, StateEnd, Ready, TakeOver, TakeoverConfirmed>;
 
-// --- Time limits, each for one step
+// --- Limits; each timeout is for one step
 struct Limits {
-  Time start_timeout = std::chrono::seconds(10);  // from the start of the new program to its `accept`
-  Time state_timeout =
-      std::chrono::milliseconds(400);  // from the freeze to `ready`: clients wait for so long
-  Time takeover_timeout = std::chrono::milliseconds(200);  // from `go` to `taken`
-  std::uint64_t max_state_bytes = 512 * kMiB;              // bytes
+  Time start_timeout = std::chrono::seconds(10);        // from the start of the new program to `Accept`
+  Time state_timeout = std::chrono::milliseconds(400);  // from the freeze to `Ready`; clients wait meanwhile
+  Time takeover_timeout = std::chrono::milliseconds(200);  // from `TakeOver` to `TakeoverConfirmed`
+  std::uint64_t max_state_bytes = 512 * kMiB;
 };
 
 // --- The old side
 struct UpgradeRequested {};
-struct PeerStarted {    // the new program was started, or was not
-  std::string failure;  // empty = it was
+struct PeerStarted {    // the new program was started, or starting it failed
+  std::string failure;  // empty: success
 };
 struct MessageReceived {
   Message message;
 };
-struct ChannelFailed {  // bytes came that are no message
+struct ChannelFailed {  // the channel failed or carried an invalid message; also the request to abort
   std::string reason;
 };
-struct PeerExited {};  // the other process has ended, and all that it had sent has been received
+struct PeerExited {};  // the other process has exited, and everything it sent has been received
 struct StateSent {
-  std::string failure;  // empty = all of it was
+  std::string failure;  // empty: the whole state was sent
 };
-struct FenceWritten {  // the record that `WriteFence` asked for was written, or was not
+struct FenceWritten {  // result of WriteFence
   std::string failure;
 };
 struct TimerExpired {};
 using OldInput = std::variant<UpgradeRequested, PeerStarted, MessageReceived, ChannelFailed, PeerExited,
                               StateSent, FenceWritten, TimerExpired>;
 
-struct StartPeer {};  // answered by Started
+struct StartPeer {};  // followed by PeerStarted
 struct Send {
   Message message;
 };
-struct Freeze {};     // nothing is read, written, sent or recorded from here on
-struct SendState {};  // State and StateEnd, with the descriptors; answered by StateSent
-struct WriteFence {   // answered by Fenced; whoever is not `to` can't append after it
+struct Freeze {};     // from here on nothing is read, written, sent or recorded
+struct SendState {};  // State and StateEnd, with the descriptors; followed by StateSent
+struct WriteFence {   // followed by FenceWritten; afterwards only `owner` can append
   Generation owner = 0;
 };
-struct KillPeer {};  // calls off what SendState has begun; answered by PeerDead, once it has been reaped
-struct Thaw {};      // calls off the same; serve on, as if nothing had been
-struct ExitAfterHandover {};   // the other serves: this process ends, or only watches over it
-struct RestartFromJournal {};  // from the journal, as after a crash: nobody serves, and what was done is
-                               // known to the journal alone
+struct KillPeer {};            // cancels SendState; followed by PeerExited once the process has been reaped
+struct Thaw {};                // cancels SendState; serving resumes as before the freeze
+struct ExitAfterHandover {};   // the new process serves; this one exits
+struct RestartFromJournal {};  // as after a crash: no process serves, and only the journal is current
 struct SetTimer {
   Time at{};
 };
@@ -133,13 +134,13 @@
     idle,        // serves
     starting,    // serves; the new program is being started
     offered,     // serves
-    sending,     // frozen; the state is on its way
-    awaiting,    // frozen, until `ready`
+    sending,     // frozen; the state is being sent
+    awaiting,    // frozen; waits for `Ready`
     fencing,     // frozen; the fence is being written
-    going,       // no longer the owner, until `taken`
-    killing,     // serves on once the peer is dead, frozen or not
-    reclaiming,  // the peer is dead and has done nothing: the fence back is being written
-    left         // the other side serves
+    going,       // no longer the owner; waits for `TakeoverConfirmed`
+    killing,     // the peer was killed; serves again once it is reaped
+    reclaiming,  // the peer died without serving; the fence that returns ownership is being written
+    left         // the new side serves
   };
   OldSide(const Versions& versions, Generation generation, const Limits& limits);
 
@@ -149,7 +150,7 @@
   bool serves() const { return step_ != Step::left && !frozen_; }
   bool busy() const { return step_ != Step::idle; }
   Generation generation() const { return generation_; }
-  // All that its next decision rests on but the time: two sides with one fingerprint act alike.
+  // Identifies the state apart from the time: two sides with equal fingerprints behave alike.
   std::string fingerprint() const;
 
  private:
@@ -162,7 +163,7 @@
   void on(const FenceWritten&);
   void on(const TimerExpired&);
 
-  void abort_upgrade(const std::string& why);
+  void abort_upgrade(const std::string& reason);
   void thaw();
   void exit_after_handover();
   void restart_from_journal();
@@ -174,9 +175,9 @@
   Generation generation_;
   Step step_ = Step::idle;
   bool frozen_ = false;
-  bool fenced_ = false;          // the newest fence names the peer
-  bool peer_took_over_ = false;  // and it has served
-  // While a fence is being written, nothing else is decided.
+  bool fenced_ = false;          // the newest fence names the peer as owner
+  bool peer_took_over_ = false;  // the peer confirmed its takeover, so it may have served
+  // While a fence is being written, other events are only noted.
   bool fence_pending_ = false;
   bool peer_exited_ = false;
   std::string pending_abort_reason_;
@@ -185,26 +186,24 @@
 };
 
 // --- The new side
-struct PreparationFinished {  // what `Check` or `Build` asked for
-  std::string failure;        // empty = all is well
+struct PreparationFinished {  // result of CheckConfiguration or BuildState
+  std::string failure;        // empty: success
 };
 using NewInput =
     std::variant<MessageReceived, ChannelFailed, PeerExited, PreparationFinished, FenceWritten, TimerExpired>;
 
-struct CheckConfiguration {  // can this program take it over: versions are fine, its configuration has to be;
-                             // answered by
-                             // Checked
+struct CheckConfiguration {  // can this program serve with its configuration? followed by PreparationFinished
 };
-struct BuildState {  // from the whole state, touching nothing; answered by Checked
+struct BuildState {  // from the whole state, without side effects; followed by PreparationFinished
   StateEnd end;
 };
-struct StartServing {  // owner of the journal; everything may be touched from here on
+struct StartServing {  // as owner of the journal; side effects are allowed from here on
   Generation generation = 0;
 };
-struct Exit {  // with nothing touched
+struct Exit {  // without any side effect so far
 };
-// Claims a journal whose owner has died while it was frozen, if it is as long as the state says or has one
-// fence more: WriteFence, answered by Fenced.
+// Here WriteFence claims a journal whose owner died while it was frozen, provided that the journal is as long
+// as the state says, or longer by one fence; followed by FenceWritten.
 using NewEffect = std::variant<Send, CheckConfiguration, BuildState, WriteFence, StartServing, Exit, SetTimer,
                                StopTimer, LogMessage>;
 
@@ -227,15 +226,15 @@
   void on(const FenceWritten&);
   void on(const TimerExpired&);
 
-  void refuse(const std::string& why);
-  void abort_handover(const std::string& why);
+  void refuse(const std::string& reason);
+  void abort_handover(const std::string& reason);
   void start_serving(Generation generation);
 
   Versions versions_;
   Limits limits_;
   Step step_ = Step::waiting;
   Offer offer_;
-  std::uint64_t received_bytes_ = 0;  // bytes of state
+  std::uint64_t received_bytes_ = 0;  // of the state
   Time now_{};
   std::vector<NewEffect> effects_;
 };
--- a/src/upgrade/channel.cpp
+++ b/src/upgrade/channel.cpp
@@ -11,11 +11,11 @@
 namespace fennellane::upgrade {
 namespace {
 
-constexpr std::size_t kMaxDescriptorsPerMessage = 250;  // of one message; the kernel takes 253
+constexpr std::size_t kMaxDescriptorsPerMessage = 250;  // the kernel's limit is 253
 constexpr std::size_t kReceiveBufferBytes = 64 * kKiB;
 
-[[noreturn]] void throw_errno(const char* what) {
-  throw ChannelError(std::string(what) + ": " + std::strerror(errno));
+[[noreturn]] void throw_errno(const char* context) {
+  throw ChannelError(std::string(context) + ": " + std::strerror(errno));
 }
 
 }  // namespace
@@ -37,37 +37,37 @@
 void Channel::flush() {
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)];
   while (!queue_.empty()) {
-    QueuedMessage& part = queue_.front();
-    iovec bytes{part.bytes.data() + part.written_bytes, part.bytes.size() - part.written_bytes};
+    QueuedMessage& queued = queue_.front();
+    iovec bytes{queued.bytes.data() + queued.written_bytes, queued.bytes.size() - queued.written_bytes};
     msghdr message{};
     message.msg_iov = &bytes;
     message.msg_iovlen = 1;
-    if (part.written_bytes == 0 && !part.descriptors.empty()) {
-      const std::size_t size = sizeof(int) * part.descriptors.size();
+    if (queued.written_bytes == 0 && !queued.descriptors.empty()) {
+      const std::size_t size = sizeof(int) * queued.descriptors.size();
       message.msg_control = control;
       message.msg_controllen = CMSG_SPACE(size);
-      cmsghdr* const head = CMSG_FIRSTHDR(&message);
-      head->cmsg_level = SOL_SOCKET;
-      head->cmsg_type = SCM_RIGHTS;
-      head->cmsg_len = CMSG_LEN(size);
-      std::memcpy(CMSG_DATA(head), part.descriptors.data(), size);
+      cmsghdr* const header = CMSG_FIRSTHDR(&message);
+      header->cmsg_level = SOL_SOCKET;
+      header->cmsg_type = SCM_RIGHTS;
+      header->cmsg_len = CMSG_LEN(size);
+      std::memcpy(CMSG_DATA(header), queued.descriptors.data(), size);
     }
     const ssize_t n = ::sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
-    // The last: more descriptors are on their way than the kernel lets one user have.
+    // ETOOMANYREFS: more descriptors are in flight than the kernel allows one user.
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS)) return;
     if (n < 0 && (errno == EPIPE || errno == ECONNRESET)) return queue_.clear();
     if (n < 0) throw_errno("a handover message cannot be sent");
-    part.written_bytes += static_cast<std::size_t>(n);
-    if (part.written_bytes == part.bytes.size()) queue_.pop_front();
+    queued.written_bytes += static_cast<std::size_t>(n);
+    if (queued.written_bytes == queued.bytes.size()) queue_.pop_front();
   }
 }
 
 bool Channel::receive() {
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)];
-  std::string piece(kReceiveBufferBytes, '\0');
+  std::string buffer(kReceiveBufferBytes, '\0');
   while (true) {
-    iovec bytes{piece.data(), piece.size()};
+    iovec bytes{buffer.data(), buffer.size()};
     msghdr message{};
     message.msg_iov = &bytes;
     message.msg_iovlen = 1;
@@ -78,21 +78,22 @@
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
     if (n < 0 && errno == ECONNRESET) return false;
     if (n < 0) throw_errno("a handover message cannot be received");
-    for (cmsghdr* head = CMSG_FIRSTHDR(&message); head != nullptr; head = CMSG_NXTHDR(&message, head)) {
-      if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
-      const std::size_t count = (head->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+    for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr;
+         header = CMSG_NXTHDR(&message, header)) {
+      if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
+      const std::size_t count = (header->cmsg_len - CMSG_LEN(0)) / sizeof(int);
       for (std::size_t i = 0; i < count; ++i) {
         int fd = -1;
-        std::memcpy(&fd, CMSG_DATA(head) + i * sizeof(int), sizeof fd);
+        std::memcpy(&fd, CMSG_DATA(header) + i * sizeof(int), sizeof fd);
         descriptors_.add(FileDescriptor(fd));
       }
     }
     if ((message.msg_flags & MSG_CTRUNC) != 0) {
-      descriptors_ = IncomingDescriptors();  // what is said of it may need one
+      descriptors_ = IncomingDescriptors();  // reporting the error may need a descriptor
       throw ChannelError("there are not enough descriptors");
     }
     if (n == 0) return false;
-    reader_.feed(std::string_view(piece).substr(0, static_cast<std::size_t>(n)));
+    reader_.feed(std::string_view(buffer).substr(0, static_cast<std::size_t>(n)));
   }
 }
 
--- a/src/upgrade/channel.hpp
+++ b/src/upgrade/channel.hpp
@@ -1,5 +1,5 @@
-// The connection between a running process and the one that takes over from it: handover messages, and
-// descriptors that go along with them.
+// The connection between a running process and the one that takes over from it. Carries handover messages and
+// file descriptors.
 #pragma once
 
 #include <deque>
@@ -20,33 +20,33 @@
 
 class Channel {
  public:
-  // A connected stream socket of the Unix family, which is made non-blocking.
+  // `socket`: a connected Unix stream socket; it is made non-blocking.
   explicit Channel(FileDescriptor socket);
 
   int descriptor() const { return socket_.get(); }
-  FileDescriptor release_socket() { return std::move(socket_); }  // of no use after it
+  FileDescriptor release_socket() { return std::move(socket_); }  // the channel is unusable afterwards
 
-  // Queues a message, with descriptors that stay their owners'; these must stay open until it is written.
+  // Queues a message. The caller keeps the descriptors and must leave them open until the message is written.
   void send(const handover::Message& message, std::vector<int> descriptors = {});
-  // Writes what goes at once. What cannot be written as the other side is gone is dropped: its end is told
-  // by `receive`. Throws ChannelError for other trouble.
+  // Writes as much as possible without blocking. If the peer is gone, the queue is dropped; `receive` reports
+  // that. Throws ChannelError for other errors.
   void flush();
   bool has_queued() const { return !queue_.empty(); }
-  // Writes nothing more of what is queued.
+  // Discards queued messages.
   void clear_queue() { queue_.clear(); }
 
-  // Reads what is there; false at the other side's end. Throws ChannelError, also where the machine or this
-  // process has no room for a descriptor that came.
+  // Reads what is available; false once the peer has closed the connection. Throws ChannelError, also if the
+  // system or this process has reached its limit of descriptors.
   bool receive();
-  // Throws handover::FrameError: the connection is of no use then.
+  // Throws handover::FrameError; the connection is unusable then.
   std::optional<handover::Message> next() { return reader_.next(); }
-  // Those that have come, in their order.
+  // Received descriptors, in order.
   IncomingDescriptors& descriptors() { return descriptors_; }
 
  private:
   struct QueuedMessage {
     std::string bytes;
-    std::vector<int> descriptors;  // with its first byte
+    std::vector<int> descriptors;  // sent with the first byte
     std::size_t written_bytes = 0;
   };
 
--- a/src/upgrade/command.hpp
+++ b/src/upgrade/command.hpp
@@ -1,4 +1,4 @@
-// `fennellane upgrade`: asks the serving process for an upgrade and waits for what comes of it.
+// `fennellane upgrade`: requests an upgrade from the serving process and waits for the result.
 #pragma once
 
 #include <chrono>
@@ -6,7 +6,7 @@
 
 namespace fennellane::upgrade {
 
-// Prints one line. 0: the new process serves; 1: the old one does, or nothing is known.
+// Prints one line. Returns 0 if the new process serves, 1 if the old one does or the result is unknown.
 int request_upgrade(const std::string& state_folder, std::chrono::seconds wait);
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/fault.cpp
+++ b/src/upgrade/fault.cpp
@@ -13,12 +13,12 @@
   const char* const path = std::getenv("FENNELLANE_FAULTS");
   if (path == nullptr) return;
   std::ifstream in(path);
-  for (std::string of, at, act; in >> of >> at >> act;) {
-    if (of != side || at != step) continue;
-    constexpr int kFaultExit = 9;
-    if (act == "exit") ::_exit(kFaultExit);
-    if (act == "kill") ::raise(SIGKILL);
-    if (act == "hang") {
+  for (std::string fault_side, fault_step, action; in >> fault_side >> fault_step >> action;) {
+    if (fault_side != side || fault_step != step) continue;
+    constexpr int kFaultExitCode = 9;
+    if (action == "exit") ::_exit(kFaultExitCode);
+    if (action == "kill") ::raise(SIGKILL);
+    if (action == "hang") {
       while (true) ::pause();
     }
   }
--- a/src/upgrade/fault.hpp
+++ b/src/upgrade/fault.hpp
@@ -1,6 +1,6 @@
-// Failures on order, so that an upgrade that fails at a given step can be rehearsed: each line of the file
-// that FENNELLANE_FAULTS names is SIDE STEP ACT, as "new ready exit". Sides are `old` and `new`, steps those
-// of the handover, acts `exit`, `kill` and `hang`. Without the variable nothing is looked for.
+// Fault injection for tests of upgrades that fail at a given step. Each line of the file named by
+// FENNELLANE_FAULTS is SIDE STEP ACTION, for example "new ready exit". Sides are `old` and `new`, steps are
+// those of the handover, actions are `exit`, `kill` and `hang`. Without the variable this does nothing.
 #pragma once
 
 #include <string_view>
--- a/src/upgrade/launch.cpp
+++ b/src/upgrade/launch.cpp
@@ -21,31 +21,32 @@
 namespace fennellane::upgrade {
 namespace {
 
-constexpr int kChannelDescriptor = 3;  // in the started process
+constexpr int kChannelDescriptor = 3;  // its number in the started process
 constexpr int kMaxPid = 1 << 30;
 
-[[noreturn]] void throw_system_error(int error, const std::string& what) {
-  throw std::system_error(error, std::generic_category(), what);
+[[noreturn]] void throw_system_error(int error, const std::string& context) {
+  throw std::system_error(error, std::generic_category(), context);
 }
 
 std::vector<char*> argument_pointers(std::vector<std::string>& texts) {
-  std::vector<char*> all;
-  for (std::string& text : texts) all.push_back(text.data());
-  all.push_back(nullptr);
-  return all;
+  std::vector<char*> pointers;
+  for (std::string& text : texts) pointers.push_back(text.data());
+  pointers.push_back(nullptr);
+  return pointers;
 }
 
 std::vector<std::string> child_environment(pid_t watcher, bool takes_over) {
-  std::vector<std::string> all;
+  std::vector<std::string> variables;
   for (char** variable = environ; *variable != nullptr; ++variable) {
     const std::string text = *variable;
     if (text.starts_with(std::string(kHandoverVariable) + "=")) continue;
     if (text.starts_with(std::string(kWatcherVariable) + "=")) continue;
-    all.push_back(text);
+    variables.push_back(text);
   }
-  all.push_back(std::string(kWatcherVariable) + "=" + std::to_string(watcher));
-  if (takes_over) all.push_back(std::string(kHandoverVariable) + "=" + std::to_string(kChannelDescriptor));
-  return all;
+  variables.push_back(std::string(kWatcherVariable) + "=" + std::to_string(watcher));
+  if (takes_over)
+    variables.push_back(std::string(kHandoverVariable) + "=" + std::to_string(kChannelDescriptor));
+  return variables;
 }
 
 class SpawnOptions {
@@ -79,7 +80,7 @@
   command.arguments.assign(argv, argv + argc);
   const std::string name = argc > 0 ? argv[0] : "";
   std::error_code error;
-  // A name without a slash was found by PATH; the running file's own path is the one that was.
+  // A name without a slash was found through PATH, so the path of the running file is used.
   command.program = name.find('/') != std::string::npos
                         ? std::filesystem::absolute(name, error).string()
                         : std::filesystem::read_symlink("/proc/self/exe", error).string();
@@ -101,23 +102,23 @@
     throw_system_error(errno, "no connection");
   Child child;
   child.channel = FileDescriptor(ends[0]);
-  const FileDescriptor theirs(ends[1]);
-  SpawnOptions plan;
-  if (takes_over) posix_spawn_file_actions_adddup2(plan.files(), theirs.get(), kChannelDescriptor);
-  // Guards against clients' connections staying open in a process that knows nothing of them.
-  posix_spawn_file_actions_addclosefrom_np(plan.files(),
+  const FileDescriptor child_end(ends[1]);
+  SpawnOptions options;
+  if (takes_over) posix_spawn_file_actions_adddup2(options.files(), child_end.get(), kChannelDescriptor);
+  // Otherwise clients' connections would stay open in a process that does not know them.
+  posix_spawn_file_actions_addclosefrom_np(options.files(),
                                            takes_over ? kChannelDescriptor + 1 : kChannelDescriptor);
   std::vector<std::string> arguments = command.arguments;
   std::vector<std::string> environment = child_environment(watcher, takes_over);
-  const int error = ::posix_spawn(&child.pid, command.program.c_str(), plan.files(), plan.attributes(),
+  const int error = ::posix_spawn(&child.pid, command.program.c_str(), options.files(), options.attributes(),
                                   argument_pointers(arguments).data(), argument_pointers(environment).data());
   if (error != 0) throw_system_error(error, command.program);
   child.pidfd = FileDescriptor(static_cast<int>(::syscall(SYS_pidfd_open, child.pid, 0)));
   if (child.pidfd.get() < 0) {
-    const int why = errno;
+    const int pidfd_error = errno;
     ::kill(child.pid, SIGKILL);
     ::waitpid(child.pid, nullptr, 0);
-    throw_system_error(why, "the new process cannot be watched");
+    throw_system_error(pidfd_error, "the new process cannot be watched");
   }
   return child;
 }
@@ -129,7 +130,7 @@
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
   std::vector<std::string> arguments = command.arguments;
   std::vector<std::string> environment = child_environment(watcher, false);
-  // The file that runs, whatever has its name now.
+  // The running file, even if another file has its name now.
   ::execve("/proc/self/exe", argument_pointers(arguments).data(), argument_pointers(environment).data());
 }
 
--- a/src/upgrade/launch.hpp
+++ b/src/upgrade/launch.hpp
@@ -1,4 +1,4 @@
-// Processes of the relay, started by one another.
+// Starting one process of the relay from another.
 #pragma once
 
 #include <sys/types.h>
@@ -10,31 +10,31 @@
 
 namespace fennellane::upgrade {
 
-// How this process was started, so that another can be in the same way.
+// How this process was started, so that another can be started in the same way.
 struct CommandLine {
-  std::string program;  // a path that another working directory does not change
+  std::string program;  // a path that does not depend on the working directory
   std::vector<std::string> arguments;
 };
 CommandLine command_line(int argc, char** argv);
 
-// What a started process is told, as environment variables.
-inline constexpr const char* kHandoverVariable = "FENNELLANE_HANDOVER";  // the connection's descriptor
-inline constexpr const char* kWatcherVariable = "FENNELLANE_WATCHER";    // the process that watches over it
+// Environment variables passed to a started process.
+inline constexpr const char* kHandoverVariable = "FENNELLANE_HANDOVER";  // descriptor of the handover channel
+inline constexpr const char* kWatcherVariable = "FENNELLANE_WATCHER";    // pid of the watcher
 
-// Takes the variable out of the environment. -1: it is not there, or no number.
+// Reads the variable and removes it from the environment. -1: it is absent or no number.
 int consume_variable(const char* name);
 
 struct Child {
   pid_t pid = -1;
-  FileDescriptor pidfd;    // can be read once it has ended
-  FileDescriptor channel;  // to it; none where it is not to take over
+  FileDescriptor pidfd;    // becomes readable when the process exits
+  FileDescriptor channel;  // to the process; none unless it takes over
 };
 
-// Starts the program with nothing open but the standard streams and, where it is to take over, its end of a
-// connection. Throws std::system_error: nothing has been started then.
+// Starts the program with only the standard streams open and, if it is to take over, its end of a channel.
+// Throws std::system_error; nothing has been started then.
 Child launch(const CommandLine& command, pid_t watcher, bool takes_over);
 
-// This process goes on as the program, in the same way as it was started. Returns only where that fails.
+// Executes the running program again in this process, with the same arguments. Returns only on failure.
 void reexec(const CommandLine& command, pid_t watcher);
 
 }  // namespace fennellane::upgrade
--- a/src/upgrade/new_process.cpp
+++ b/src/upgrade/new_process.cpp
@@ -14,21 +14,21 @@
 
 constexpr Versions kVersions{};
 
-// The new side has no time limits of its own: a process that is not answered any more is killed.
+// The new side has no timeouts of its own: the old process kills it when it is too slow.
 constexpr Time kUnusedTime{};
 
 void wait_for(int fd, short events) {
-  pollfd one{fd, events, 0};
-  while (::poll(&one, 1, -1) < 0 && errno == EINTR) {
+  pollfd polled{fd, events, 0};
+  while (::poll(&polled, 1, -1) < 0 && errno == EINTR) {
   }
 }
 
 }  // namespace
 
-NewProcess::NewProcess(FileDescriptor channel, Successor& successor, OnLog say)
+NewProcess::NewProcess(FileDescriptor channel, Successor& successor, OnLog log)
     : channel_(std::move(channel)),
       successor_(successor),
-      log_(std::move(say)),
+      log_(std::move(log)),
       side_(kVersions, handover::Limits{}) {}
 
 bool NewProcess::run() {
@@ -43,8 +43,8 @@
   try {
     const bool open = channel_.receive();
     while (const std::optional<Message> message = channel_.next()) {
-      // The side counts the bytes; they are kept here.
-      if (const State* part = std::get_if<State>(&*message)) state_ += part->bytes;
+      // NewSide only counts the bytes; they are stored here.
+      if (const State* chunk = std::get_if<State>(&*message)) state_ += chunk->bytes;
       dispatch(MessageReceived{*message});
       if (ended_ || side_.serves()) return;
     }
@@ -52,7 +52,7 @@
   } catch (const FrameError& e) {
     dispatch(ChannelFailed{e.what()});
   } catch (const ChannelError& e) {
-    // The old process hears why: it may be for a limit that an operator can raise.
+    // Tells the old process the reason: it may be a limit that an operator can raise.
     channel_.send(Refuse{e.what()});
     channel_.flush();
     dispatch(ChannelFailed{e.what()});
@@ -104,7 +104,7 @@
 void NewProcess::execute(const StartServing& e) {
   if (journal_claimed_) return;
   const std::string failure = successor_.claim_journal(e.generation);
-  // Nobody serves then; the journal is whole, and the next life begins from it.
+  // No process serves then; the journal is complete, and the next process starts from it.
   if (!failure.empty()) throw std::runtime_error("the journal cannot be claimed: " + failure);
 }
 
--- a/src/upgrade/new_process.hpp
+++ b/src/upgrade/new_process.hpp
@@ -1,5 +1,5 @@
-// The new side of a handover, in the program that was started to take over. It waits for the old process and
-// does nothing else, until it serves or ends. What it decides is handover::NewSide's.
+// Executes the new side of a handover, in the process started to take over. It only talks to the old process
+// until it serves or exits. handover::NewSide makes the decisions.
 #pragma once
 
 #include <deque>
@@ -11,12 +11,12 @@
 
 namespace fennellane::upgrade {
 
-// What is asked of the program. Each answer is what went wrong; empty = nothing.
+// Implemented by the program. Each function returns an error message; empty means success.
 class Successor {
  public:
   virtual ~Successor() = default;
   virtual std::string check_configuration() = 0;
-  // Everything, from the state; no socket and no file is touched.
+  // Builds the relay from the state, without touching a socket or a file.
   virtual std::string build_relay(const std::string& state, IncomingDescriptors& descriptors,
                                   std::uint64_t journal_bytes) = 0;
   virtual std::string claim_journal(handover::Generation generation) = 0;
@@ -25,12 +25,12 @@
 class NewProcess {
  public:
   using OnLog = std::function<void(const std::string&)>;
-  // `channel`: to the old process. Throws ChannelError.
-  NewProcess(FileDescriptor channel, Successor& successor, OnLog say);
+  // `channel` leads to the old process. Throws ChannelError.
+  NewProcess(FileDescriptor channel, Successor& successor, OnLog log);
 
-  // Whether this process serves now. Throws std::runtime_error where it was to serve and cannot.
+  // Returns whether this process serves now. Throws std::runtime_error if it should serve but cannot.
   bool run();
-  // Open for as long as the old process is there.
+  // Stays open for as long as the old process lives.
   FileDescriptor release_channel() { return channel_.release_socket(); }
 
  private:
--- a/src/upgrade/old_process.cpp
+++ b/src/upgrade/old_process.cpp
@@ -51,11 +51,11 @@
   dispatch(UpgradeRequested{});
 }
 
-void OldProcess::abort_upgrade(const std::string& why) {
-  if (side_.busy()) dispatch(ChannelFailed{why});
+void OldProcess::abort_upgrade(const std::string& reason) {
+  if (side_.busy()) dispatch(ChannelFailed{reason});
 }
 
-// One input at a time: what an effect brings about waits for its turn.
+// Handles one input at a time; inputs that effects cause are queued.
 void OldProcess::dispatch(OldInput input) {
   inputs_.push_back(std::move(input));
   if (std::exchange(dispatching_, true)) return;
@@ -85,12 +85,12 @@
     Child child = launch(command, watcher_, true);
     const pid_t pid = child.pid;
     try {
-      const int ear = duplicate_descriptor(child.channel.get()),
-                life = duplicate_descriptor(child.pidfd.get());
+      const int channel_copy = duplicate_descriptor(child.channel.get()),
+                pidfd_copy = duplicate_descriptor(child.pidfd.get());
       Channel channel(std::move(child.channel));
       peer_ = std::make_unique<Peer>(Peer{std::move(child), std::move(channel), true,
-                                          asio::posix::stream_descriptor(io_, ear),
-                                          asio::posix::stream_descriptor(io_, life)});
+                                          asio::posix::stream_descriptor(io_, channel_copy),
+                                          asio::posix::stream_descriptor(io_, pidfd_copy)});
       relay_.upgrade_started(pid);
     } catch (const std::exception&) {
       ::kill(pid, SIGKILL);
@@ -107,13 +107,13 @@
   }
 }
 
-// The handlers guard against being those of a try that has ended.
+// Handlers compare the peer, since they may run after their attempt has ended.
 void OldProcess::await_message() {
   peer_->channel_readable.async_wait(asio::posix::stream_descriptor::wait_read,
                                      [this, peer = peer_.get()](asio::error_code error) {
                                        if (error || peer_.get() != peer) return;
                                        receive_messages();
-                                       // Frozen, it stands still here until it is known how that ends.
+                                       // Once frozen, polls here until the outcome is known.
                                        if (frozen_) return run_while_frozen();
                                        if (peer_.get() == peer && peer_->channel_open) await_message();
                                      });
@@ -146,20 +146,21 @@
   }
 }
 
-// The next part, once the one before has gone out: the state is not held twice.
+// Queues the next chunk only when the previous one is written, so that the state is not in memory twice.
 void OldProcess::queue_state_chunk() {
-  StateTransfer& s = *state_transfer_;
-  const std::vector<int>& all = s.descriptors.all();
-  if (s.sent_bytes == s.state.size() && s.descriptors_sent == all.size()) {
-    s.end_queued = true;
-    return peer_->channel.send(StateEnd{s.state.size(), checksum(s.state), relay_.journal_bytes()});
+  StateTransfer& transfer = *state_transfer_;
+  const std::vector<int>& descriptors = transfer.descriptors.all();
+  if (transfer.sent_bytes == transfer.state.size() && transfer.descriptors_sent == descriptors.size()) {
+    transfer.end_queued = true;
+    return peer_->channel.send(
+        StateEnd{transfer.state.size(), checksum(transfer.state), relay_.journal_bytes()});
   }
-  const std::size_t count = std::min(kDescriptorsPerMessage, all.size() - s.descriptors_sent);
-  const auto first = all.begin() + static_cast<std::ptrdiff_t>(s.descriptors_sent);
-  peer_->channel.send(State{s.state.substr(s.sent_bytes, kStateChunkBytes)},
+  const std::size_t count = std::min(kDescriptorsPerMessage, descriptors.size() - transfer.descriptors_sent);
+  const auto first = descriptors.begin() + static_cast<std::ptrdiff_t>(transfer.descriptors_sent);
+  peer_->channel.send(State{transfer.state.substr(transfer.sent_bytes, kStateChunkBytes)},
                       std::vector<int>(first, first + static_cast<std::ptrdiff_t>(count)));
-  s.sent_bytes = std::min(s.state.size(), s.sent_bytes + kStateChunkBytes);
-  s.descriptors_sent += count;
+  transfer.sent_bytes = std::min(transfer.state.size(), transfer.sent_bytes + kStateChunkBytes);
+  transfer.descriptors_sent += count;
 }
 
 void OldProcess::flush() {
@@ -242,7 +243,7 @@
   }
 }
 
-// It has ended; what it said before still counts.
+// The peer has exited; messages it sent before still count.
 void OldProcess::reap_peer() {
   receive_messages();
   int status = 0;
@@ -250,31 +251,32 @@
   log_("upgrade", "process " + std::to_string(peer_->child.pid) + " has ended with " + exit_text(status));
   peer_->channel.clear_queue();
   state_transfer_.reset();
-  // Guards against a wait that names a process which is another one by now.
-  const std::unique_ptr<Peer> buried = std::exchange(peer_, nullptr);
+  // The pid may be reused from here on, so no wait or signal may refer to this peer any more.
+  const std::unique_ptr<Peer> exited = std::exchange(peer_, nullptr);
   dispatch(PeerExited{});
 }
 
 void OldProcess::run_while_frozen() {
   while (frozen_) {
-    pollfd watched[2] = {{-1, 0, 0}, {-1, 0, 0}};
+    pollfd polled[2] = {{-1, 0, 0}, {-1, 0, 0}};
     if (peer_) {
-      const bool sending = peer_->channel.has_queued();
-      if (peer_->channel_open || sending) watched[0].fd = peer_->channel.descriptor();
-      watched[0].events = static_cast<short>((peer_->channel_open ? POLLIN : 0) | (sending ? POLLOUT : 0));
-      watched[1] = {peer_->child.pidfd.get(), POLLIN, 0};
+      const bool has_queued = peer_->channel.has_queued();
+      if (peer_->channel_open || has_queued) polled[0].fd = peer_->channel.descriptor();
+      polled[0].events = static_cast<short>((peer_->channel_open ? POLLIN : 0) | (has_queued ? POLLOUT : 0));
+      polled[1] = {peer_->child.pidfd.get(), POLLIN, 0};
     }
     int wait_ms = -1;
     if (timer_deadline_) {
-      const auto left = std::chrono::ceil<std::chrono::milliseconds>(*timer_deadline_ - steady_now()).count();
-      wait_ms = static_cast<int>(std::clamp<std::int64_t>(left, 0, 60000));
+      const auto remaining =
+          std::chrono::ceil<std::chrono::milliseconds>(*timer_deadline_ - steady_now()).count();
+      wait_ms = static_cast<int>(std::clamp<std::int64_t>(remaining, 0, 60000));
     }
-    if (::poll(watched, 2, wait_ms) < 0 && errno != EINTR) continue;
-    if (watched[0].revents != 0) {
+    if (::poll(polled, 2, wait_ms) < 0 && errno != EINTR) continue;
+    if (polled[0].revents != 0) {
       receive_messages();
       if (frozen_ && peer_) flush();
     }
-    if (frozen_ && peer_ && watched[1].revents != 0) reap_peer();
+    if (frozen_ && peer_ && polled[1].revents != 0) reap_peer();
     if (frozen_) check_timer();
   }
 }
--- a/src/upgrade/old_process.hpp
+++ b/src/upgrade/old_process.hpp
@@ -1,8 +1,8 @@
-// The old side of a handover in a running process: starts the new program, hands over and leaves, or serves
-// on. What it decides is handover::OldSide's.
+// Executes the old side of a handover in a running process: starts the new program and hands over, or keeps
+// serving. handover::OldSide makes the decisions.
 //
-// While its relay is frozen the loop stands still: this waits for the new process by itself, so nothing else
-// runs, and after a thaw everything goes on where it was.
+// While the relay is frozen the event loop does not run: this class polls the new process itself, so no other
+// handler runs, and after a thaw everything continues where it was.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,22 +20,23 @@
 
 namespace fennellane::upgrade {
 
-// What is asked of the relay.
+// Implemented by the relay.
 class Upgradable {
  public:
   virtual ~Upgradable() = default;
-  // All that another process needs to go on. The descriptors stay the relay's.
+  // Everything that another process needs to continue. The relay keeps its descriptors.
   virtual std::string save(OutgoingDescriptors& descriptors) = 0;
   virtual std::uint64_t journal_bytes() const = 0;
-  // The journal's last record of this owner, and its taking back. Both throw std::exception.
-  virtual void fence_journal(handover::Generation to) = 0;
-  virtual void reclaim_journal(handover::Generation as) = 0;
-  // Throws std::exception where that cannot be written down; there is no upgrade then.
+  // Write the fence that ends this owner's part of the journal, and the claim that takes it back. Both throw
+  // std::exception.
+  virtual void fence_journal(handover::Generation owner) = 0;
+  virtual void reclaim_journal(handover::Generation generation) = 0;
+  // Throws std::exception if this cannot be stored; the upgrade fails then.
   virtual void upgrade_started(pid_t new_process) = 0;
-  virtual void upgrade_failed(const std::string& why) = 0;
-  // The new process serves, and this one ends, without a word to its peers.
+  virtual void upgrade_failed(const std::string& reason) = 0;
+  // The new process serves; this one exits without closing its connections first.
   [[noreturn]] virtual void exit_after_handover(pid_t new_process) = 0;
-  // This one begins again from the journal.
+  // Restarts this process from the journal.
   [[noreturn]] virtual void restart_from_journal() = 0;
 };
 
@@ -44,9 +45,8 @@
   OldProcess(asio::io_context& io, CommandLine command, pid_t watcher, handover::Generation generation,
              const handover::Limits& limits, Upgradable& relay, Log& log);
 
-  void request_upgrade(
-      const std::string& program = {});        // for an upgrade; empty: to the program of the command
-  void abort_upgrade(const std::string& why);  // one that is under way; the new process is killed
+  void request_upgrade(const std::string& program = {});  // empty: the program of the command line
+  void abort_upgrade(const std::string& reason);          // if one is under way; kills the new process
   bool busy() const { return side_.busy(); }
 
  private:
@@ -83,15 +83,15 @@
   std::deque<handover::OldInput> inputs_;
   bool dispatching_ = false;
   bool upgrade_in_progress_ = false;
-  std::string program_;  // of the upgrade that is under way
+  std::string program_;  // of the upgrade under way; empty: that of the command line
   bool frozen_ = false;
-  std::string failure_reason_;  // why the newest try has failed
+  std::string failure_reason_;  // of the latest attempt
 
-  // Of the newest try; none between two.
+  // The new process; null unless an upgrade is under way.
   struct Peer {
     Child child;
     Channel channel;
-    bool channel_open = true;  // the channel may still bring something
+    bool channel_open = true;  // more messages may arrive
     asio::posix::stream_descriptor channel_readable, process_ended;
   };
   std::unique_ptr<Peer> peer_;
@@ -100,7 +100,7 @@
     std::size_t sent_bytes = 0;
     OutgoingDescriptors descriptors;
     std::size_t descriptors_sent = 0;
-    bool end_queued = false;  // all of it is queued
+    bool end_queued = false;  // StateEnd is queued
   };
   std::optional<StateTransfer> state_transfer_;
   std::optional<handover::Time> timer_deadline_;
--- a/src/upgrade/run_file.cpp
+++ b/src/upgrade/run_file.cpp
@@ -11,19 +11,19 @@
 
 constexpr const char* kFileName = "/serving";
 constexpr const char* kTemporaryName = "/serving.new";
-constexpr std::size_t kMaxResultBytes = 300;  // bytes; one block of the disk holds the file
+constexpr std::size_t kMaxResultBytes = 300;  // keeps the file within one disk block
 
 }  // namespace
 
 std::optional<RunFile> read_run_file(const std::string& folder) {
   std::ifstream in(folder + kFileName);
   RunFile file;
-  std::string word, end;
-  if (!(in >> word >> file.pid) || word != "pid" || file.pid <= 0) return std::nullopt;
-  if (!(in >> word >> file.next_pid) || word != "next") return std::nullopt;
-  if (!(in >> word >> file.finished_upgrades) || word != "tries" || !(in >> word >> end) || word != "last")
+  std::string key, outcome;
+  if (!(in >> key >> file.pid) || key != "pid" || file.pid <= 0) return std::nullopt;
+  if (!(in >> key >> file.next_pid) || key != "next") return std::nullopt;
+  if (!(in >> key >> file.finished_upgrades) || key != "tries" || !(in >> key >> outcome) || key != "last")
     return std::nullopt;
-  file.last_succeeded = end == "good";
+  file.last_succeeded = outcome == "good";
   std::getline(in >> std::ws, file.last_result);
   return file;
 }
--- a/src/upgrade/run_file.hpp
+++ b/src/upgrade/run_file.hpp
@@ -1,5 +1,5 @@
-// A small file in the state folder that says which process serves and how the last upgrade went: for the
-// `upgrade` command and for the process that watches over the relay.
+// A small file in the state folder with the serving process and the result of the last upgrade. Read by the
+// `upgrade` command and by the watcher process.
 #pragma once
 
 #include <sys/types.h>
@@ -11,15 +11,15 @@
 namespace fennellane::upgrade {
 
 struct RunFile {
-  pid_t pid = 0;                        // that serves
-  pid_t next_pid = 0;                   // that is to take over, while an upgrade is under way; 0 = none is
-  std::uint64_t finished_upgrades = 0;  // upgrades that have ended, well or not
-  bool last_succeeded = false;          // the last of them took over
-  std::string last_result;              // what was said of it, one line
+  pid_t pid = 0;                        // of the serving process
+  pid_t next_pid = 0;                   // of the new process while an upgrade is under way, otherwise 0
+  std::uint64_t finished_upgrades = 0;  // successful or not
+  bool last_succeeded = false;          // whether the last upgrade succeeded
+  std::string last_result;              // its result in one line
 };
 
 std::optional<RunFile> read_run_file(const std::string& folder);
-// In one step; false if the disk does not take it, and the old one stays.
+// Replaces the file atomically. False if writing failed; the old file stays then.
 bool write_run_file(const std::string& folder, const RunFile& file);
 void remove_run_file(const std::string& folder);
 
--- a/src/upgrade/watch.cpp
+++ b/src/upgrade/watch.cpp
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// A process that takes over from a dead one has all it needs, or ends: this long is for the first.
+// A new process that takes over from a dead one has this long to serve, then it is killed.
 constexpr std::chrono::seconds kTakeoverTimeout{2};
 constexpr milliseconds kResendWindow{200};
 constexpr milliseconds kPollInterval{2};
@@ -62,20 +62,21 @@
     ::kill(serving_pid_, number);
   }
 
-  // The status that the relay has ended with, once none of its processes goes on.
+  // The exit status of the relay, once no process of it continues.
   std::optional<int> reap() {
     int status = 0;
     for (pid_t pid; (pid = ::waitpid(-1, &status, WNOHANG)) > 0;) {
       if (pid != serving_pid_) continue;
-      const int ended = status;
+      const int exit_status = status;
       const std::optional<pid_t> next =
-          find_successor(WIFEXITED(ended) && WEXITSTATUS(ended) == kHandedOverExitCode);
-      if (!next) return ended;
+          find_successor(WIFEXITED(exit_status) && WEXITSTATUS(exit_status) == kHandedOverExitCode);
+      if (!next) return exit_status;
       serving_pid_ = *next;
-      // Guards against a signal that the process before was handed and did not live to look at.
+      // The previous process may have exited before it handled a signal that it received shortly before.
       const auto now = steady_clock::now();
-      for (const SentSignal& s : sent_signals_) {
-        if (s.number != SIGUSR2 && now - s.sent_at <= kResendWindow) ::kill(serving_pid_, s.number);
+      for (const SentSignal& signal : sent_signals_) {
+        if (signal.number != SIGUSR2 && now - signal.sent_at <= kResendWindow)
+          ::kill(serving_pid_, signal.number);
       }
     }
     return std::nullopt;
@@ -87,23 +88,23 @@
     steady_clock::time_point sent_at;
   };
 
-  // `left`: the one before has said that another serves.
-  std::optional<pid_t> find_successor(bool left) {
-    const auto end = steady_clock::now() + kTakeoverTimeout;
+  // `handed_over`: the previous process has reported that another one serves.
+  std::optional<pid_t> find_successor(bool handed_over) {
+    const auto deadline = steady_clock::now() + kTakeoverTimeout;
     std::optional<RunFile> file;
     while (any_child()) {
       file = read_run_file(state_folder_);
       if (file && file->pid != serving_pid_ && is_child(file->pid)) return file->pid;
-      if (left && file && file->next_pid > 0 && is_child(file->next_pid)) return file->next_pid;
+      if (handed_over && file && file->next_pid > 0 && is_child(file->next_pid)) return file->next_pid;
       if (file && (file->next_pid <= 0 || !is_child(file->next_pid))) return std::nullopt;
-      // It may have ended, which is why nobody serves.
+      // The new process may have exited, so that none serves.
       siginfo_t info{};
       if (file && ::waitid(P_PID, static_cast<id_t>(file->next_pid), &info, WEXITED | WNOHANG) == 0 &&
           info.si_pid == file->next_pid) {
         return std::nullopt;
       }
-      if (steady_clock::now() > end) {
-        // Guards against one that hangs and would serve later, unwatched.
+      if (steady_clock::now() > deadline) {
+        // A process that hangs could otherwise start to serve later without a watcher.
         if (file) ::kill(file->next_pid, SIGKILL);
         return std::nullopt;
       }
@@ -120,20 +121,20 @@
 }  // namespace
 
 int run_watcher(const CommandLine& command, const std::string& state_folder) {
-  sigset_t set;
-  sigemptyset(&set);
-  for (const int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2, SIGCHLD}) sigaddset(&set, number);
-  ::sigprocmask(SIG_BLOCK, &set, nullptr);
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (const int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2, SIGCHLD}) sigaddset(&signals, number);
+  ::sigprocmask(SIG_BLOCK, &signals, nullptr);
   ::prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0);
   const Child child = launch(command, ::getpid(), false);
   Watcher watcher(child.pid, state_folder);
   while (true) {
     int number = 0;
-    if (::sigwait(&set, &number) != 0) continue;
+    if (::sigwait(&signals, &number) != 0) continue;
     if (number != SIGCHLD) {
       watcher.forward_signal(number);
-    } else if (const std::optional<int> ended = watcher.reap()) {
-      return exit_like(*ended);
+    } else if (const std::optional<int> exit_status = watcher.reap()) {
+      return exit_like(*exit_status);
     }
   }
 }
--- a/src/upgrade/watch.hpp
+++ b/src/upgrade/watch.hpp
@@ -1,5 +1,5 @@
-// The process that stays while the relay's own come and go by upgrades: the one that a supervisor knows. It
-// starts the relay, hands signals on to whichever process serves, and ends as that one does.
+// The watcher: the process that a supervisor knows and that stays while upgrades replace the serving process.
+// It starts the relay, forwards signals to the serving process and exits with the same status.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace fennellane::upgrade {
 
-// The code with which a process ends that has left its work to another.
+// Exit code of a process that has handed over to another.
 inline constexpr int kHandedOverExitCode = 88;
 
-// Returns the exit code; where the relay was ended by a signal, this process is ended by the same. Throws
-// std::system_error where nothing can be started.
+// Returns the relay's exit code; if a signal ended the relay, this process ends itself with the same signal.
+// Throws std::system_error if the relay cannot be started.
 int run_watcher(const CommandLine& command, const std::string& state_folder);
 
-// In a process that serves: should its watcher die, it is killed at once, so that whoever kills the one has
-// killed the relay.
+// Called by a serving process: the kernel kills it when its watcher dies, so that killing the watcher kills
+// the relay.
 void set_parent_death_signal(pid_t watcher);
 
 }  // namespace fennellane::upgrade
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Upgrades of the program itself: each process that takes part fails at each step, and messages, calls and
-// clients are in the middle of everything meanwhile.
+// Hot upgrades of the program: each of the processes fails at each step while messages, calls and clients are
+// active.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <sys/resource.h>
@@ -17,18 +17,19 @@
 using namespace test;
 
 constexpr const char* kUp = "GET /up HTTP/1.1\r\n\r\n";
-// For upgrades that shall succeed on any machine, and for those that shall not.
+// For upgrades that must succeed on any machine, and for those that must time out.
 constexpr const char* kLongTimeouts = "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000))";
 constexpr const char* kShortTimeouts = "(upgrade (start-ms 700) (state-ms 300) (taken-ms 300))";
 
-// Guards a call that a partner holds back against being called again on a slow machine: 20 s, not 2 s.
+// On a slow machine a call that the partner does not answer yet must not time out and be repeated, so the
+// timeout is 20 s instead of 2 s.
 ConfigParts long_timeout_parts() {
   ConfigParts parts;
   parts.connect_ms = 10000;
   return parts;
 }
 
-// Closed, it holds back the answers of a partner.
+// Blocks a partner's answers until it is opened.
 class Gate {
  public:
   ~Gate() { open(); }
@@ -48,7 +49,7 @@
   bool open_ = false;
 };
 
-// A client on one connection that it keeps.
+// A client that keeps one connection open.
 class PersistentClient {
  public:
   explicit PersistentClient(const RelayProgram& relay) : socket_(relay.connected(io_)) {}
@@ -60,7 +61,7 @@
   unsigned answer() {
     HttpReader reader(HttpReader::Kind::response, 65536, 65536);
     asio::error_code error;
-    char byte = 0;  // one at a time, as a second answer may be behind the first
+    char byte = 0;  // one at a time, since a second answer may follow the first
     while (!reader.done() && !reader.failed()) {
       if (socket_.read_some(asio::buffer(&byte, 1), error) == 0 || error) return 0;
       reader.feed({&byte, 1});
@@ -68,10 +69,10 @@
     return reader.status();
   }
   std::string bytes(std::size_t count) {
-    std::string all(count, '\0');
+    std::string received(count, '\0');
     asio::error_code error;
-    all.resize(asio::read(socket_, asio::buffer(all), error));
-    return all;
+    received.resize(asio::read(socket_, asio::buffer(received), error));
+    return received;
   }
   unsigned ask(std::string_view text) { return send(text) ? answer() : 0; }
 
@@ -80,11 +81,11 @@
   tcp::socket socket_;
 };
 
-// A relay with a `pay` and a `note` out at a partner that does not answer yet, an idle client, and one in the
-// middle of a request.
+// A relay with a `pay` and a `note` in flight to a partner that does not answer yet, an idle client, and a
+// client that has sent half a request.
 class UpgradeScenario {
  public:
-  static constexpr std::size_t kDeliveredBefore = 4;  // messages that are delivered before it begins
+  static constexpr std::size_t kDeliveredBefore = 4;  // messages delivered beforehand
   explicit UpgradeScenario(const std::string& faults = "", const std::string& settings = kLongTimeouts)
       : partner_([this](const Request& r) {
           if (r.id == "p1" || r.id == "n1") gate_.wait_until_open();
@@ -98,7 +99,7 @@
     relay.start();
     idle_client = std::make_unique<PersistentClient>(relay);
     mid_request_client = std::make_unique<PersistentClient>(relay);
-    // The relay sends more at once to a host that has answered some.
+    // The relay only sends several calls at once to a host that has answered some.
     for (std::size_t i = 1; i <= kDeliveredBefore; ++i) {
       EXPECT_EQ(idle_client->ask(request_text("w" + std::to_string(i))), 202u);
       EXPECT_TRUE(happens([&] { return relay.counter("delivered") == i; }));
@@ -117,29 +118,29 @@
   std::size_t calls(const std::string& id) const { return partner_.count(id); }
   pid_t serving() const { return upgrade::read_run_file(relay.state_folder())->pid; }
 
-  // Every message, call and client goes on where it was.
+  // Every message, call and client continues undisturbed.
   void expect_no_interruption() {
     EXPECT_EQ(idle_client->ask(kUp), 200u);
     mid_request_client->send(request_.substr(request_.size() / 2));
-    const unsigned heard = mid_request_client->answer();
-    // A request has 2.5 s, whoever reads it: on a slow machine that may be over.
+    const unsigned status = mid_request_client->answer();
+    // A request must arrive within 2.5 s, across processes: on a slow machine the time may be over.
     const bool in_time = std::chrono::steady_clock::now() - request_began_ < seconds(2);
     if (in_time) {
-      EXPECT_EQ(heard, 202u);
+      EXPECT_EQ(status, 202u);
     }
-    const bool taken = heard == 202;
-    if (taken) {
+    const bool accepted = status == 202;
+    if (accepted) {
       EXPECT_TRUE(happens([&] { return calls("h1") == 1; }));
     }
     gate_.open();
-    EXPECT_TRUE(happens([&] { return relay.counter("delivered") == kDeliveredBefore + (taken ? 3 : 2); }))
+    EXPECT_TRUE(happens([&] { return relay.counter("delivered") == kDeliveredBefore + (accepted ? 3 : 2); }))
         << relay.log();
     EXPECT_EQ(calls("p1"), 1u);
     EXPECT_EQ(calls("n1"), 1u);
     EXPECT_EQ(relay.counter("restored"), 0u);
     EXPECT_EQ(relay.counter("journal.held"), 0u);
   }
-  // The relay has ended, as by a crash: its next life reads the journal.
+  // The relay has died as in a crash: the next process recovers from the journal.
   void expect_recovery_from_journal() {
     EXPECT_EQ(relay.end(0), -SIGKILL);
     set_faults("");
@@ -162,192 +163,193 @@
   std::unique_ptr<PersistentClient> idle_client, mid_request_client;
 };
 
-TEST(Upgrade, TakesOverAllThatIsUnderWayTimeAndAgain) {
-  UpgradeScenario scene;
+TEST(Upgrade, RepeatedUpgradesContinueEverythingInProgress) {
+  UpgradeScenario scenario;
   for (int i = 0; i < 5; ++i) {
-    const pid_t before = scene.serving();
-    ASSERT_EQ(scene.upgrade(), 0) << scene.relay.log();
-    ASSERT_NE(scene.serving(), before);
-    EXPECT_EQ(scene.idle_client->ask(kUp), 200u);
+    const pid_t before = scenario.serving();
+    ASSERT_EQ(scenario.upgrade(), 0) << scenario.relay.log();
+    ASSERT_NE(scenario.serving(), before);
+    EXPECT_EQ(scenario.idle_client->ask(kUp), 200u);
   }
-  scene.expect_no_interruption();
-  EXPECT_EQ(scene.relay.end(SIGTERM), 0);  // the first process still stands for them all
+  scenario.expect_no_interruption();
+  EXPECT_EQ(scenario.relay.end(SIGTERM), 0);  // the watcher still represents the relay
 }
 
 TEST(Upgrade, ANewProcessThatFailsBeforeItServesChangesNothing) {
   for (const std::string step : {"checking", "accepted", "building", "ready", "serving"}) {
-    for (const std::string act : {"exit", "kill"}) {
-      UpgradeScenario scene("new " + step + " " + act);
-      const pid_t before = scene.serving();
-      EXPECT_EQ(scene.upgrade(), 1) << step << act;
-      EXPECT_EQ(scene.serving(), before);
-      scene.set_faults("");
-      EXPECT_EQ(scene.upgrade(), 0) << "the next try after " << step << act << ": " << scene.relay.log();
-      scene.expect_no_interruption();
+    for (const std::string action : {"exit", "kill"}) {
+      UpgradeScenario scenario("new " + step + " " + action);
+      const pid_t before = scenario.serving();
+      EXPECT_EQ(scenario.upgrade(), 1) << step << action;
+      EXPECT_EQ(scenario.serving(), before);
+      scenario.set_faults("");
+      EXPECT_EQ(scenario.upgrade(), 0)
+          << "the next try after " << step << action << ": " << scenario.relay.log();
+      scenario.expect_no_interruption();
     }
   }
 }
 
 TEST(Upgrade, ANewProcessThatHangsIsKilledAndChangesNothing) {
   for (const std::string step : {"checking", "accepted", "building", "ready", "serving"}) {
-    UpgradeScenario scene("new " + step + " hang", kShortTimeouts);
-    const pid_t before = scene.serving();
-    EXPECT_EQ(scene.upgrade(), 1) << step;
-    EXPECT_EQ(scene.serving(), before);
-    scene.expect_no_interruption();
+    UpgradeScenario scenario("new " + step + " hang", kShortTimeouts);
+    const pid_t before = scenario.serving();
+    EXPECT_EQ(scenario.upgrade(), 1) << step;
+    EXPECT_EQ(scenario.serving(), before);
+    scenario.expect_no_interruption();
   }
 }
 
-TEST(Upgrade, AnOldProcessThatDiesWithItsStateHandedOverIsFollowedByTheNewOne) {
+TEST(Upgrade, IfTheOldProcessDiesAfterSendingItsStateTheNewOneServes) {
   for (const std::string step : {"awaiting", "fencing", "going", "left"}) {
-    UpgradeScenario scene("old " + step + " kill");
-    const pid_t before = scene.serving();
-    EXPECT_EQ(scene.upgrade(), 0) << step << scene.relay.log();
-    EXPECT_NE(scene.serving(), before);
-    scene.expect_no_interruption();
+    UpgradeScenario scenario("old " + step + " kill");
+    const pid_t before = scenario.serving();
+    EXPECT_EQ(scenario.upgrade(), 0) << step << scenario.relay.log();
+    EXPECT_NE(scenario.serving(), before);
+    scenario.expect_no_interruption();
   }
 }
 
-TEST(Upgrade, WhereNobodyIsLeftTheNextLifeReadsTheJournal) {
+TEST(Upgrade, IfBothProcessesDieTheNextOneReadsTheJournal) {
   for (const std::string faults :
        {"old starting kill", "old offered kill", "old sending kill", "new taken kill",
         "old awaiting kill\nnew building kill", "old going kill\nnew claiming kill"}) {
-    UpgradeScenario scene(faults);
-    scene.relay.signal(SIGUSR2);
-    scene.expect_recovery_from_journal();
+    UpgradeScenario scenario(faults);
+    scenario.relay.signal(SIGUSR2);
+    scenario.expect_recovery_from_journal();
   }
 }
 
-TEST(Upgrade, RefusesWhatIsNoFitProgramAndSaysSo) {
-  UpgradeScenario scene;
-  const pid_t before = scene.serving();
-  const auto try_with = [&](const std::string& settings) {
-    scene.relay.replace_settings(settings);
-    const int result = scene.upgrade();
-    scene.relay.replace_settings(kLongTimeouts);
-    EXPECT_EQ(scene.serving(), before);
-    EXPECT_EQ(scene.idle_client->ask(kUp), 200u);
-    return result == 0 ? "" : upgrade::read_run_file(scene.relay.state_folder())->last_result;
+TEST(Upgrade, RefusesAnIncompatibleConfigurationWithAReason) {
+  UpgradeScenario scenario;
+  const pid_t before = scenario.serving();
+  const auto upgrade_with = [&](const std::string& settings) {
+    scenario.relay.replace_settings(settings);
+    const int result = scenario.upgrade();
+    scenario.relay.replace_settings(kLongTimeouts);
+    EXPECT_EQ(scenario.serving(), before);
+    EXPECT_EQ(scenario.idle_client->ask(kUp), 200u);
+    return result == 0 ? "" : upgrade::read_run_file(scenario.relay.state_folder())->last_result;
   };
-  EXPECT_NE(try_with("(upgrade").find("settings"), std::string::npos);
-  EXPECT_NE(try_with("(log (lines 1000))").find("switch upgrades off"), std::string::npos);
+  EXPECT_NE(upgrade_with("(upgrade").find("settings"), std::string::npos);
+  EXPECT_NE(upgrade_with("(log (lines 1000))").find("switch upgrades off"), std::string::npos);
   const auto configure = [&](const std::string& listen, int max_open) {
     ConfigParts parts = long_timeout_parts();
     parts.listen = listen;
-    parts.discovery = scene.platform.address();
+    parts.discovery = scenario.platform.address();
     parts.max_open = max_open;
-    scene.relay.replace_config(config_json(parts));
+    scenario.relay.replace_config(config_json(parts));
   };
   configure("127.0.0.1:2", 50);
-  EXPECT_NE(try_with(kLongTimeouts).find("listen has changed"), std::string::npos);
-  configure(scene.relay.address(), 60);
-  EXPECT_NE(try_with(kLongTimeouts).find("settings has changed"), std::string::npos);
-  configure(scene.relay.address(), 50);
-  EXPECT_EQ(scene.upgrade(), 0);
-  scene.expect_no_interruption();
+  EXPECT_NE(upgrade_with(kLongTimeouts).find("listen has changed"), std::string::npos);
+  configure(scenario.relay.address(), 60);
+  EXPECT_NE(upgrade_with(kLongTimeouts).find("settings has changed"), std::string::npos);
+  configure(scenario.relay.address(), 50);
+  EXPECT_EQ(scenario.upgrade(), 0);
+  scenario.expect_no_interruption();
 }
 
-TEST(Upgrade, AProgramThatIsNoneOrIsShortOfDescriptorsChangesNothing) {
-  const RelayProgram place(refusing_address());  // only its folder is used
-  const std::string folder = place.folder();
+TEST(Upgrade, AProgramThatCannotRunOrLacksDescriptorsChangesNothing) {
+  const RelayProgram folder_owner(refusing_address());  // only its folder is used
+  const std::string folder = folder_owner.folder();
   std::ofstream(folder + "/short") << "#!/bin/sh\nulimit -n 16\nexec " << FENNELLANE_PROGRAM << " \"$@\"\n";
   std::ofstream(folder + "/text") << "no program";
   fs::permissions(folder + "/short", fs::perms::owner_all);
   for (const std::string name : {"/nowhere", "/text", "/short"}) {
-    UpgradeScenario scene("", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" +
-                                  folder + name + "\"))");
-    std::vector<std::unique_ptr<PersistentClient>> more;
+    UpgradeScenario scenario("", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" +
+                                     folder + name + "\"))");
+    std::vector<std::unique_ptr<PersistentClient>> more_clients;
     for (int i = 0; i < 10; ++i) {
-      more.push_back(std::make_unique<PersistentClient>(scene.relay));
-      EXPECT_EQ(more.back()->ask(kUp), 200u);
+      more_clients.push_back(std::make_unique<PersistentClient>(scenario.relay));
+      EXPECT_EQ(more_clients.back()->ask(kUp), 200u);
     }
-    EXPECT_EQ(scene.upgrade(), 1) << name;
-    scene.expect_no_interruption();
-    const bool said = scene.relay.logged("not enough descriptors") > 0;
-    EXPECT_EQ(said, name == "/short") << scene.relay.log();
+    EXPECT_EQ(scenario.upgrade(), 1) << name;
+    scenario.expect_no_interruption();
+    const bool logged = scenario.relay.logged("not enough descriptors") > 0;
+    EXPECT_EQ(logged, name == "/short") << scenario.relay.log();
   }
 }
 
-TEST(Upgrade, ADiskThatTakesNoFenceLeavesTheOldOneTheOwner) {
-  UpgradeScenario scene;
-  const pid_t before = scene.serving();
-  const auto size = static_cast<rlim_t>(fs::file_size(scene.relay.state_folder() + "/journal"));
-  rlimit usual{};
-  ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, nullptr, &usual), 0);
-  const rlimit nothing{1, usual.rlim_max};  // not even that an upgrade is under way
+TEST(Upgrade, TheOldProcessStaysOwnerIfTheFenceCannotBeWritten) {
+  UpgradeScenario scenario;
+  const pid_t before = scenario.serving();
+  const auto size = static_cast<rlim_t>(fs::file_size(scenario.relay.state_folder() + "/journal"));
+  rlimit original{};
+  ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, nullptr, &original), 0);
+  const rlimit nothing{1, original.rlim_max};  // even the run file cannot be written
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &nothing, nullptr), 0);
-  EXPECT_EQ(upgrade::request_upgrade(scene.relay.state_folder(), seconds(1)), 1);
-  const rlimit full{size + 5, usual.rlim_max};  // a part of the fence's record goes in
+  EXPECT_EQ(upgrade::request_upgrade(scenario.relay.state_folder(), seconds(1)), 1);
+  const rlimit full{size + 5, original.rlim_max};  // only a part of the fence's record fits
   ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &full, nullptr), 0);
-  EXPECT_EQ(scene.upgrade(), 1);
-  ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &usual, nullptr), 0);
-  EXPECT_EQ(scene.serving(), before);
-  // The log may be as full as the journal.
+  EXPECT_EQ(scenario.upgrade(), 1);
+  ASSERT_EQ(prlimit(before, RLIMIT_FSIZE, &original, nullptr), 0);
+  EXPECT_EQ(scenario.serving(), before);
+  // The log may be subject to the same limit, so the run file is checked.
   EXPECT_NE(
-      upgrade::read_run_file(scene.relay.state_folder())->last_result.find("the fence cannot be written"),
+      upgrade::read_run_file(scenario.relay.state_folder())->last_result.find("the fence cannot be written"),
       std::string::npos);
-  EXPECT_EQ(scene.upgrade(), 0) << scene.relay.log();
-  scene.expect_no_interruption();
+  EXPECT_EQ(scenario.upgrade(), 0) << scenario.relay.log();
+  scenario.expect_no_interruption();
 }
 
-TEST(Upgrade, AnOldProcessWithoutADescriptorServesOn) {
+TEST(Upgrade, AnOldProcessWithoutADescriptorKeepsServing) {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP() << "the sanitizers need descriptors of their own, and end a process that has none left";
 #endif
-  UpgradeScenario scene;
-  const pid_t before = scene.serving();
-  rlimit usual{};
-  ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, nullptr, &usual), 0);
-  const rlimit none{3, usual.rlim_max};
+  UpgradeScenario scenario;
+  const pid_t before = scenario.serving();
+  rlimit original{};
+  ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, nullptr, &original), 0);
+  const rlimit none{3, original.rlim_max};
   ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, &none, nullptr), 0);
-  EXPECT_EQ(upgrade::request_upgrade(scene.relay.state_folder(), seconds(1)), 1);
-  EXPECT_TRUE(happens([&] { return scene.relay.logged("the new program cannot be started") == 1; }));
-  ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, &usual, nullptr), 0);
-  EXPECT_EQ(scene.serving(), before);
-  EXPECT_EQ(scene.upgrade(), 0) << scene.relay.log();
-  scene.expect_no_interruption();
+  EXPECT_EQ(upgrade::request_upgrade(scenario.relay.state_folder(), seconds(1)), 1);
+  EXPECT_TRUE(happens([&] { return scenario.relay.logged("the new program cannot be started") == 1; }));
+  ASSERT_EQ(prlimit(before, RLIMIT_NOFILE, &original, nullptr), 0);
+  EXPECT_EQ(scenario.serving(), before);
+  EXPECT_EQ(scenario.upgrade(), 0) << scenario.relay.log();
+  scenario.expect_no_interruption();
 }
 
-TEST(Upgrade, ASigtermDuringOneEndsBothInTime) {
-  UpgradeScenario scene("new checking hang");
-  scene.relay.signal(SIGUSR2);
-  EXPECT_TRUE(happens([&] { return scene.relay.logged("is started") == 1; }));
-  scene.relay.signal(SIGUSR2);  // and a second one
-  EXPECT_TRUE(happens([&] { return scene.relay.logged("an upgrade is under way") == 1; }));
-  EXPECT_EQ(scene.relay.end(SIGTERM), 0);
-  EXPECT_EQ(scene.relay.logged("has ended with signal 9"), 1u);
+TEST(Upgrade, ASigtermDuringOneEndsBothProcesses) {
+  UpgradeScenario scenario("new checking hang");
+  scenario.relay.signal(SIGUSR2);
+  EXPECT_TRUE(happens([&] { return scenario.relay.logged("is started") == 1; }));
+  scenario.relay.signal(SIGUSR2);  // and a second one
+  EXPECT_TRUE(happens([&] { return scenario.relay.logged("an upgrade is under way") == 1; }));
+  EXPECT_EQ(scenario.relay.end(SIGTERM), 0);
+  EXPECT_EQ(scenario.relay.logged("has ended with signal 9"), 1u);
 }
 
-// The new process may have read the files before they changed.
-TEST(Upgrade, ASighupDuringOneReachesTheOneThatServes) {
-  const RelayProgram place(refusing_address());  // only its folder is used
-  const std::string slow = place.folder() + "/slow", go = place.folder() + "/go";
-  std::ofstream(slow) << "#!/bin/sh\nwhile [ ! -e " << go << " ]; do sleep 0.02; done\nexec "
-                      << FENNELLANE_PROGRAM << " \"$@\"\n";
-  fs::permissions(slow, fs::perms::owner_all);
-  UpgradeScenario scene(
-      "", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" + slow + "\"))");
-  scene.relay.signal(SIGUSR2);
-  ASSERT_TRUE(happens([&] { return scene.relay.logged("is started") == 1; }));
-  scene.relay.signal(SIGHUP);
-  ASSERT_TRUE(happens([&] { return scene.relay.counter("reloads") == 1; }));
-  std::this_thread::sleep_for(milliseconds(600));  // the first process no longer knows of it
-  std::ofstream(go) << "now";
-  EXPECT_TRUE(happens([&] { return scene.relay.logged("has taken over") == 1; }));
-  EXPECT_TRUE(happens([&] { return scene.relay.counter("reloads") == 2; })) << scene.relay.log();
-  scene.expect_no_interruption();
+// The new process may have read the configuration before it changed, so SIGHUP is passed on to it.
+TEST(Upgrade, ASighupDuringOneReachesTheNewProcess) {
+  const RelayProgram folder_owner(refusing_address());  // only its folder is used
+  const std::string slow_program = folder_owner.folder() + "/slow", go_file = folder_owner.folder() + "/go";
+  std::ofstream(slow_program) << "#!/bin/sh\nwhile [ ! -e " << go_file << " ]; do sleep 0.02; done\nexec "
+                              << FENNELLANE_PROGRAM << " \"$@\"\n";
+  fs::permissions(slow_program, fs::perms::owner_all);
+  UpgradeScenario scenario(
+      "", "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000) (program \"" + slow_program + "\"))");
+  scenario.relay.signal(SIGUSR2);
+  ASSERT_TRUE(happens([&] { return scenario.relay.logged("is started") == 1; }));
+  scenario.relay.signal(SIGHUP);
+  ASSERT_TRUE(happens([&] { return scenario.relay.counter("reloads") == 1; }));
+  std::this_thread::sleep_for(milliseconds(600));  // longer than the watcher resends signals
+  std::ofstream(go_file) << "now";
+  EXPECT_TRUE(happens([&] { return scenario.relay.logged("has taken over") == 1; }));
+  EXPECT_TRUE(happens([&] { return scenario.relay.counter("reloads") == 2; })) << scenario.relay.log();
+  scenario.expect_no_interruption();
 }
 
-TEST(Upgrade, WhoKillsTheFirstProcessHasKilledTheRelay) {
-  UpgradeScenario scene;
-  EXPECT_EQ(scene.upgrade(), 0);
-  EXPECT_EQ(scene.relay.end(SIGKILL), -SIGKILL);
-  EXPECT_TRUE(happens([&] { return scene.relay.ask(kUp) == 0; }));
-  scene.relay.start();  // the folder is free
-  EXPECT_TRUE(happens([&] { return scene.platform.noticed(R"({"id":"p1","status":"undeliverable"})"); }));
+TEST(Upgrade, KillingTheWatcherKillsTheRelay) {
+  UpgradeScenario scenario;
+  EXPECT_EQ(scenario.upgrade(), 0);
+  EXPECT_EQ(scenario.relay.end(SIGKILL), -SIGKILL);
+  EXPECT_TRUE(happens([&] { return scenario.relay.ask(kUp) == 0; }));
+  scenario.relay.start();  // the folder is free
+  EXPECT_TRUE(happens([&] { return scenario.platform.noticed(R"({"id":"p1","status":"undeliverable"})"); }));
 }
 
-TEST(Upgrade, IsRefusedWhereItIsOffAndAsksNobodyThatIsNoRelay) {
+TEST(Upgrade, IsRefusedWhenDisabledAndSignalsNoForeignProcess) {
   Platform platform({});
   RelayProgram relay(platform.address());
   relay.start();
@@ -356,28 +358,28 @@
   EXPECT_TRUE(happens([&] { return relay.logged("upgrades are off") == 1; }));
   EXPECT_EQ(relay.ask(kUp), 200u);
   EXPECT_EQ(relay.end(SIGTERM), 0);
-  // A file of a life that is over names this process.
+  // A leftover run file names this process.
   ASSERT_TRUE(upgrade::write_run_file(relay.state_folder(), {::getpid(), 0, 0, true, ""}));
   EXPECT_EQ(upgrade::request_upgrade(relay.state_folder(), seconds(1)), 1);
 }
 
-// A told wait, a notice that is owed and the watch of discovery go along.
-TEST(Upgrade, EndsNoWaitAndForgetsNoNotice) {
+// A requested wait, a pending notice and the discovery watch are handed over.
+TEST(Upgrade, KeepsRequestedWaitsAndPendingNotices) {
   std::mutex mutex;
-  std::vector<std::chrono::steady_clock::time_point> tries;
+  std::vector<std::chrono::steady_clock::time_point> call_times;
   Server partner([&](const Request& r) {
     const std::scoped_lock lock(mutex);
     if (r.id == "bad") return std::string(kReset);
-    tries.push_back(std::chrono::steady_clock::now());
-    return tries.size() == 1 ? answer("429 Too Many Requests", "", "X-Come-Back-Ms: 3000\r\n")
-                             : answer("200 OK");
+    call_times.push_back(std::chrono::steady_clock::now());
+    return call_times.size() == 1 ? answer("429 Too Many Requests", "", "X-Come-Back-Ms: 3000\r\n")
+                                  : answer("200 OK");
   });
   Platform platform({{"s-1", partner.address()}});
   platform.take_notices(false);
   RelayProgram relay(platform.address());
   relay.replace_settings(kLongTimeouts);
   relay.start();
-  EXPECT_EQ(relay.ask(request_text("bad", "x", "pay")), 202u);  // reset behind its last byte: in doubt
+  EXPECT_EQ(relay.ask(request_text("bad", "x", "pay")), 202u);  // reset after its last byte: uncertain
   EXPECT_TRUE(happens([&] { return relay.counter("undeliverable") == 1; }));
   EXPECT_EQ(relay.ask(request_text("w1")), 202u);
   EXPECT_TRUE(happens([&] { return relay.counter("answer.full") == 1; }));
@@ -388,16 +390,16 @@
   EXPECT_TRUE(happens([&] { return relay.counter("notices_taken") == 1; }));
   EXPECT_TRUE(happens([&] { return relay.counter("delivered") == 1; })) << relay.log();
   const std::scoped_lock lock(mutex);
-  ASSERT_EQ(tries.size(), 2u);
-  EXPECT_GE(tries[1] - tries[0], milliseconds(2990));
+  ASSERT_EQ(call_times.size(), 2u);
+  EXPECT_GE(call_times[1] - call_times[0], milliseconds(2990));
   std::size_t fetches = 0;
   for (const Request& r : platform.requests()) fetches += r.target == "/discovery/hosts";
-  EXPECT_EQ(fetches, 1u);  // the new one took the watch up where the old one stood
+  EXPECT_EQ(fetches, 1u);  // the new process continued the old one's watch
   EXPECT_EQ(relay.counter("journal.held"), 0u);
 }
 
-// The old process's watch never tells of it.
-TEST(Upgrade, ADrainToldMeanwhileHolds) {
+// The old process's watch never reports this change of the list.
+TEST(Upgrade, AppliesAListChangeMadeDuringTheUpgrade) {
   Server partner([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", partner.address()}});
   RelayProgram relay(platform.address());
@@ -413,7 +415,7 @@
   EXPECT_EQ(partner.count("b"), 0u);
 }
 
-TEST(Upgrade, GoesOnWhileDiscoveryIsDown) {
+TEST(Upgrade, WorksWhileDiscoveryIsDown) {
   Server partner([](const Request&) { return answer("200 OK"); });
   ConfigParts parts;
   parts.known = {{"s-1", partner.address()}};
@@ -425,30 +427,30 @@
   EXPECT_TRUE(happens([&] { return relay.counter("delivered") == 1; }));
 }
 
-// More requests at once than their answers have room for, from a client that does not read yet.
-TEST(Upgrade, HalfWrittenAnswersAndUnreadRequestsGoAlong) {
-  UpgradeScenario scene;
-  PersistentClient piping(scene.relay);
+// A client sends more requests than the buffers can hold answers for and reads slowly.
+TEST(Upgrade, HandsOverPartlyWrittenAnswersAndUnreadRequests) {
+  UpgradeScenario scenario;
+  PersistentClient pipelining(scenario.relay);
   constexpr int kRequests = 150000;
   std::thread sender([&] {
     std::string text;
     for (int i = 0; i < kRequests; ++i) text += kUp;
-    EXPECT_TRUE(piping.send(text));
+    EXPECT_TRUE(pipelining.send(text));
   });
   std::this_thread::sleep_for(milliseconds(300));
   std::atomic<bool> upgraded = false;
   std::thread upgrades([&] {
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(scene.upgrade(), 0);
+    for (int i = 0; i < 3; ++i) EXPECT_EQ(scenario.upgrade(), 0);
     upgraded = true;
   });
-  // Slowly meanwhile, so that answers wait at each upgrade, but not so slowly that the relay cuts it off.
-  const std::size_t all = kRequests * format_answer(200, false).size();
+  // Reads slowly, so that answers are pending at each upgrade, but fast enough not to be disconnected.
+  const std::size_t total = kRequests * format_answer(200, false).size();
   std::string answers;
-  while (!upgraded && answers.size() < all) {
-    answers += piping.bytes(1000);
+  while (!upgraded && answers.size() < total) {
+    answers += pipelining.bytes(1000);
     std::this_thread::sleep_for(milliseconds(5));
   }
-  answers += piping.bytes(all - answers.size());
+  answers += pipelining.bytes(total - answers.size());
   upgrades.join();
   sender.join();
   std::string expected;
@@ -458,11 +460,11 @@
                                    << " bytes: "
                                    << answers.substr(static_cast<std::size_t>(differs - answers.begin()),
                                                      200);
-  scene.expect_no_interruption();
+  scenario.expect_no_interruption();
 }
 
-// Wherever a message is cut, a reader in another process goes on with it as this one would have.
-RC_GTEST_PROP(ReaderMemory, GoesOnInTheMiddleOfAMessage,
+// Wherever a message is split, a reader in another process continues as this one would have.
+RC_GTEST_PROP(ReaderSnapshot, ContinuesInTheMiddleOfAMessage,
               (const std::vector<bool>& passes, std::uint32_t seed)) {
   std::mt19937 random(seed);
   const bool chunked = random() % 2 == 0;
