--- a/src/main.cpp
+++ b/src/main.cpp
@@ -42,11 +42,12 @@
                                                 {"answered-late", Fate::answered_late},
                                                 {"held", Fate::held}};
 
-// What a process does that was started to take over from another.
+// The new side's part of a handover, in a process started to take over from another.
 class RelaySuccessor : public fennellane::upgrade::Successor {
  public:
-  RelaySuccessor(std::function<fennellane::Config()> read, std::string state, fennellane::LaunchContext place)
-      : read_(std::move(read)), state_(std::move(state)), launch_context_(std::move(place)) {}
+  RelaySuccessor(std::function<fennellane::Config()> read, std::string state,
+                 fennellane::LaunchContext context)
+      : read_(std::move(read)), state_(std::move(state)), launch_context_(std::move(context)) {}
 
   std::string check_configuration() override {
     return failure_of([this] {
@@ -72,10 +73,10 @@
   fennellane::Relay& relay() { return *relay_; }
 
  private:
-  template <class Do>
-  static std::string failure_of(Do what) {
+  template <class Function>
+  static std::string failure_of(Function function) {
     try {
-      what();
+      function();
       return "";
     } catch (const std::exception& e) {
       return *e.what() == 0 ? "an unknown failure" : e.what();
@@ -91,8 +92,8 @@
 };
 
 int take_over(int channel, const std::function<fennellane::Config()>& read, const std::string& state,
-              const fennellane::LaunchContext& place) {
-  RelaySuccessor successor(read, state, place);
+              const fennellane::LaunchContext& context) {
+  RelaySuccessor successor(read, state, context);
   fennellane::upgrade::NewProcess process(fennellane::FileDescriptor(channel), successor,
                                           [](const std::string& text) {
                                             std::fprintf(stderr, "fennellane: the new process %d: %s\n",
@@ -104,19 +105,19 @@
   return 0;
 }
 
-// Guards a start against a system that is short of something for a moment.
+// A shortage of system resources at the start may pass, so system errors are retried.
 template <class Make>
 void retry_on_system_error(fennellane::Time limit, Make make) {
-  constexpr std::chrono::milliseconds kPause{50};
-  const auto end = std::chrono::steady_clock::now() + limit;
+  constexpr std::chrono::milliseconds kRetryInterval{50};
+  const auto deadline = std::chrono::steady_clock::now() + limit;
   while (true) {
     try {
       return make();
     } catch (const std::system_error& e) {
-      if (std::chrono::steady_clock::now() >= end) throw;
-      std::fprintf(stderr, "fennellane: not yet: %s\n", e.what());
+      if (std::chrono::steady_clock::now() >= deadline) throw;
+      std::fprintf(stderr, "fennellane: the start failed and is retried: %s\n", e.what());
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
@@ -126,14 +127,14 @@
   const int channel = upgrade::consume_variable(upgrade::kHandoverVariable);
   const int watcher = upgrade::consume_variable(upgrade::kWatcherVariable);
   const auto read = [&] { return fennellane::read_config(config_path, settings_path); };
-  const fennellane::LaunchContext place{command, watcher};
-  if (channel >= 0) return take_over(channel, read, state, place);
+  const fennellane::LaunchContext context{command, watcher};
+  if (channel >= 0) return take_over(channel, read, state, context);
   try {
     fennellane::Config config = read();
     if (config.upgrade && watcher < 0) return upgrade::run_watcher(command, state);
     if (watcher >= 0) upgrade::set_parent_death_signal(watcher);
     std::optional<fennellane::Relay> relay;
-    retry_on_system_error(config.limits.startup_wait, [&] { relay.emplace(config, state, read, place); });
+    retry_on_system_error(config.limits.startup_wait, [&] { relay.emplace(config, state, read, context); });
     relay->run();
     return 0;
   } catch (const fennellane::ConfigError& e) {
@@ -161,16 +162,16 @@
   }
 }
 
-// Asks Consul something on behalf of the operators: `ask` gets the configuration, whose section fleet is
-// there, and a place for what went wrong, and returns false then.
+// Runs an operator's query to Consul. `ask` gets the configuration, which has a section fleet, and a string
+// for an error message; it returns false on an error.
 template <class Ask>
 int query_fleet(const std::string& config_path, const std::string& settings_path, Ask ask) {
   try {
     const fennellane::Config config = fennellane::read_config(config_path, settings_path);
     if (!config.fleet) throw fennellane::ConfigError("the settings have no section fleet");
-    std::string trouble;
-    if (ask(config, trouble)) return 0;
-    std::fprintf(stderr, "fennellane: %s\n", trouble.c_str());
+    std::string error;
+    if (ask(config, error)) return 0;
+    std::fprintf(stderr, "fennellane: %s\n", error.c_str());
     return 1;
   } catch (const fennellane::ConfigError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
@@ -180,70 +181,70 @@
 
 using fennellane::ReleaseRequest;
 
-// The budget's subcommand: as it stands, or set anew.
+// The subcommand `budget`: shows the disruption budget or sets it.
 struct BudgetCommand {
   CLI::App* command = nullptr;
   fennellane::drain::Cap cap{0, 0, 0};
 
   void add(CLI::App& app, const std::function<void(CLI::App*)>& add_config) {
-    command =
-        app.add_subcommand("budget", "show how many relays may be out at once and which are, or set it");
+    command = app.add_subcommand("budget",
+                                 "show or set how many relays may be offline at once, and show which are");
     add_config(command);
-    command->add_option("--most", cap.max_relays, "relays; 0 leaves it out");
-    command->add_option("--per-zone", cap.per_zone, "relays of one zone; 0 leaves it out");
-    command->add_option("--percent", cap.percent, "of the relays registered; 0 leaves it out")
+    command->add_option("--most", cap.max_relays, "relays; 0: no bound");
+    command->add_option("--per-zone", cap.per_zone, "relays of one zone; 0: no bound");
+    command->add_option("--percent", cap.percent, "percent of the registered relays; 0: no bound")
         ->check(CLI::Range(0, 100));
   }
   int run(const std::string& config, const std::string& settings) const {
-    std::optional<fennellane::drain::Cap> wanted;
+    std::optional<fennellane::drain::Cap> new_cap;
     for (const char* option : {"--most", "--per-zone", "--percent"})
-      if (command->count(option) > 0) wanted = cap;
-    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
-      if (wanted && wanted == fennellane::drain::Cap{0, 0, 0}) {
-        trouble = "at least one bound is needed";
+      if (command->count(option) > 0) new_cap = cap;
+    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& error) {
+      if (new_cap && new_cap == fennellane::drain::Cap{0, 0, 0}) {
+        error = "at least one bound is needed";
         return false;
       }
-      return fennellane::show_budget(*c.consul, *c.fleet, c.limits, wanted, std::cout, trouble);
+      return fennellane::show_budget(*c.consul, *c.fleet, c.limits, new_cap, std::cout, error);
     });
   }
 };
 
-// The subcommand of staged releases.
+// The subcommand `release`, for staged releases.
 struct ReleaseCommand {
   CLI::App* command = nullptr;
   ReleaseRequest request;
-  bool stay = false;
+  bool no_auto_back = false;
 
   void add(CLI::App& app, const std::function<void(CLI::App*)>& add_config) {
-    command = app.add_subcommand("release",
-                                 "take a new build through the fleet in waves, halt it, or take it back");
+    command = app.add_subcommand(
+        "release", "roll a new build out to the fleet in waves, halt the rollout, or roll it back");
     command->require_subcommand(1);
-    const auto one = [&](const char* name, const char* help, ReleaseRequest::Action what) {
+    const auto add_subcommand = [&](const char* name, const char* help, ReleaseRequest::Action action) {
       CLI::App* sub = command->add_subcommand(name, help);
       add_config(sub);
-      sub->callback([this, what] { request.action = what; });
+      sub->callback([this, action] { request.action = action; });
       return sub;
     };
-    one("status", "which wave it is at, and what the relays report", ReleaseRequest::Action::status);
-    one("halt", "no further relay moves", ReleaseRequest::Action::halt);
-    one("resume", "a halted release goes on", ReleaseRequest::Action::resume);
-    one("back", "those that have moved return to the build before", ReleaseRequest::Action::back);
-    CLI::App* start = one("start", "begin", ReleaseRequest::Action::start);
-    start->add_option("--from", request.from, "the build that runs, by its name in the folder of builds")
+    add_subcommand("status", "show the current wave and the relays' reports", ReleaseRequest::Action::status);
+    add_subcommand("halt", "migrate no further relay", ReleaseRequest::Action::halt);
+    add_subcommand("resume", "continue a halted release", ReleaseRequest::Action::resume);
+    add_subcommand("back", "return the migrated relays to the previous build", ReleaseRequest::Action::back);
+    CLI::App* start = add_subcommand("start", "start a release", ReleaseRequest::Action::start);
+    start->add_option("--from", request.from, "the running build, by its name in the folder of builds")
         ->required();
-    start->add_option("--to", request.to, "the new one")->required();
+    start->add_option("--to", request.to, "the new build")->required();
     request.steps = {"1", "10%", "30%", "100%"};
     start
         ->add_option("--waves", request.steps,
-                     "how far each wave goes, as counts or shares; the last is 100%")
+                     "size of each wave, as a count or a percentage; the last is 100%")
         ->delimiter(',')
         ->capture_default_str();
-    start->add_flag("--stay", stay, "a breach of health only halts, and nothing returns by itself");
+    start->add_flag("--stay", no_auto_back, "if health degrades, only halt; do not roll back automatically");
   }
   int run(const std::string& config, const std::string& settings) {
-    request.auto_back = !stay;
-    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& trouble) {
-      return fennellane::run_release_command(*c.consul, *c.fleet, c.limits, request, std::cout, trouble);
+    request.auto_back = !no_auto_back;
+    return query_fleet(config, settings, [&](const fennellane::Config& c, std::string& error) {
+      return fennellane::run_release_command(*c.consul, *c.fleet, c.limits, request, std::cout, error);
     });
   }
 };
@@ -253,26 +254,26 @@
   std::size_t seconds = 60, max_listed = 20;
   bool raw = false;
 };
-int explain(const std::string& state, const WhyOptions& question) {
+int explain(const std::string& state, const WhyOptions& options) {
   namespace record = fennellane::record;
   try {
     const record::Contents contents =
-        record::read_record(question.file.empty() ? state + "/" + record::kFileName : question.file);
-    if (question.raw) {
+        record::read_record(options.file.empty() ? state + "/" + record::kFileName : options.file);
+    if (options.raw) {
       record::print_raw(contents, std::cout);
       return 0;
     }
     const record::Account account(contents);
-    if (!question.ended.empty()) {
-      record::print_lives(account, kFateNames.at(question.ended), question.max_listed, std::cout);
+    if (!options.ended.empty()) {
+      record::print_lives(account, kFateNames.at(options.ended), options.max_listed, std::cout);
       return 0;
     }
-    if (question.id.empty()) {
-      record::print_summary(account, question.seconds, std::cout);
+    if (options.id.empty()) {
+      record::print_summary(account, options.seconds, std::cout);
       return 0;
     }
-    if (record::print_life(account, question.id, std::cout)) return 0;
-    std::fprintf(stderr, "fennellane: the record does not know %s%s\n", question.id.c_str(),
+    if (record::print_life(account, options.id, std::cout)) return 0;
+    std::fprintf(stderr, "fennellane: the record does not contain %s%s\n", options.id.c_str(),
                  contents.overwritten > 0 ? "; its beginning has been overwritten" : "");
   } catch (const record::RecordError& e) {
     std::fprintf(stderr, "fennellane: %s\n", e.what());
@@ -304,56 +305,58 @@
         ->envname("GW_CONFIG");
     command
         ->add_option("--settings", settings,
-                     "the operators' settings, S-expressions, over the configuration or without one")
+                     "the operators' settings, S-expressions; applied to the configuration or used alone")
         ->envname("GW_SETTINGS");
   };
   CLI::App* serve_command = app.add_subcommand("serve", "run the relay until SIGTERM");
   add_config(serve_command);
-  serve_command->add_option("--state", state, "the folder that outlasts the process")
+  serve_command->add_option("--state", state, "the folder of the relay's persistent state")
       ->envname("GW_STATE")
       ->required();
-  CLI::App* check_command =
-      app.add_subcommand("check-config", "read the configuration and say what it holds");
+  CLI::App* check_command = app.add_subcommand("check-config", "check the configuration and print a summary");
   add_config(check_command);
   CLI::App* owners_command =
-      app.add_subcommand("owners", "ask Consul which relay holds which role of the fleet");
+      app.add_subcommand("owners", "query Consul for the holders of the fleet's roles");
   add_config(owners_command);
   CLI::App* ejections_command = app.add_subcommand(
-      "ejections", "ask Consul which endpoints the fleet finds out, and whether its cap is reached");
+      "ejections",
+      "query Consul for the endpoints that the fleet finds unhealthy and whether the cap is reached");
   add_config(ejections_command);
   BudgetCommand budget;
   budget.add(app, add_config);
   ReleaseCommand release;
   release.add(app, add_config);
   CLI::App* upgrade_command =
-      app.add_subcommand("upgrade", "let a new process take over from the one that serves");
-  upgrade_command->add_option("--state", state, "the folder of the relay that serves")
+      app.add_subcommand("upgrade", "let a new process take over from the serving one");
+  upgrade_command->add_option("--state", state, "the state folder of the serving relay")
       ->envname("GW_STATE")
       ->required();
   int wait_s = 15;
-  upgrade_command->add_option("--wait", wait_s, "seconds to wait for what comes of it")
+  upgrade_command->add_option("--wait", wait_s, "seconds to wait for the result")
       ->check(CLI::Range(1, 3600))
       ->capture_default_str();
-  CLI::App* why_command = app.add_subcommand(
-      "why", "say from the flight record how messages ended and why, or why one of them did");
-  WhyOptions question;
-  why_command->add_option("id", question.id, "a message's X-Call-Id; none: a summary");
+  CLI::App* why_command =
+      app.add_subcommand("why", "explain from the flight record how messages ended, or how a given one did");
+  WhyOptions options;
+  why_command->add_option("id", options.id, "a message's X-Call-Id; without one: a summary");
   CLI::Option* state_option =
       why_command->add_option("--state", state, "the relay's state folder")->envname("GW_STATE");
-  why_command->add_option("--file", question.file, "the record itself, where it lies elsewhere")
+  why_command->add_option("--file", options.file, "the record file, if it is elsewhere")
       ->excludes(state_option);
-  why_command->add_option("--ended", question.ended, "list the messages that ended so")
+  why_command->add_option("--ended", options.ended, "list the messages that ended this way")
       ->check(CLI::IsMember(kFateNames));
-  why_command->add_option("--most", question.max_listed, "messages listed")->capture_default_str();
-  why_command->add_option("--seconds", question.seconds, "seconds shown, the newest")->capture_default_str();
-  why_command->add_flag("--raw", question.raw, "every note, a line each");
-  CLI::App* fleet_command = app.add_subcommand(
-      "fleet", "count over the flight records of many relays, second by second and by destination");
+  why_command->add_option("--most", options.max_listed, "maximum number of messages listed")
+      ->capture_default_str();
+  why_command->add_option("--seconds", options.seconds, "number of most recent seconds shown")
+      ->capture_default_str();
+  why_command->add_flag("--raw", options.raw, "print every entry, one per line");
+  CLI::App* fleet_command =
+      app.add_subcommand("fleet", "summarize the flight records of many relays by second and by destination");
   std::vector<std::string> records;
   std::vector<std::uint32_t> destinations;
-  fleet_command->add_option("records", records, "the records' files, one of each relay")->required();
+  fleet_command->add_option("records", records, "the record files, one for each relay")->required();
   fleet_command
-      ->add_option("--destination", destinations, "also count this destination's own; may be repeated")
+      ->add_option("--destination", destinations, "also show this destination separately; may be repeated")
       ->expected(1);
   CLI::App* version_command = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
@@ -363,15 +366,15 @@
       return 0;
     }
     if (fleet_command->parsed()) return summarize_fleet(records, destinations);
-    if (why_command->parsed()) return explain(state, question);
+    if (why_command->parsed()) return explain(state, options);
     if (owners_command->parsed()) {
-      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
-        return fennellane::print_owners(*c.consul, *c.fleet, c.limits, std::cout, trouble);
+      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& error) {
+        return fennellane::print_owners(*c.consul, *c.fleet, c.limits, std::cout, error);
       });
     }
     if (ejections_command->parsed()) {
-      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& trouble) {
-        return fennellane::show_ejections(*c.consul, *c.fleet, c.limits, std::cout, trouble);
+      return query_fleet(config, settings, [](const fennellane::Config& c, std::string& error) {
+        return fennellane::show_ejections(*c.consul, *c.fleet, c.limits, std::cout, error);
       });
     }
     if (budget.command->parsed()) return budget.run(config, settings);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -17,15 +17,16 @@
 namespace fennellane {
 namespace {
 
-// A request to a relay that has not read its journal yet.
-SendAnswer refusal_before_start(const MessageSubmitted& offer, Time again) {
-  return SendAnswer{offer.request, AdmissionReply::refused, again, AdmissionOutcome::storage_failing, 0};
+// The answer to a request that arrives before the journal has been read.
+SendAnswer refusal_before_start(const MessageSubmitted& message, Time retry_after) {
+  return SendAnswer{message.request, AdmissionReply::refused, retry_after, AdmissionOutcome::storage_failing,
+                    0};
 }
 
 }  // namespace
 
 Relay::Relay(Config config, const std::string& state_folder, std::function<Config()> reread,
-             LaunchContext place, Journal journal)
+             LaunchContext context, Journal journal)
     : config_(std::move(config)),
       reread_(std::move(reread)),
       state_folder_(state_folder),
@@ -36,32 +37,33 @@
       reducer_(config_.boot.settings, config_.limits, journal_.next_stream(), counters_),
       upstream_(io_, config_, counters_, log_, record_, [this](const CallEnded& ended) { input(ended); }),
       notices_(io_, config_, counters_, log_, [this](StreamId stream) { input(NoticeAccepted{stream}); }),
-      downstream_(io_, config_, counters_, log_, record_,
-                  [this](MessageSubmitted offer) {
-                    if (!storage_open_) {
-                      ++counters_.refused;
-                      return downstream_.answer(refusal_before_start(offer, reducer_.refusal_retry_after()));
-                    }
-                    offer.journal_has_room =
-                        journal_.has_room(offer.id.size() + offer.idempotency_key.size(), offer.body->size());
-                    input(offer);
-                  }),
-      loop_watch_(io_, config_.limits.loop_lag_check_interval, config_.limits.loop_lag_report_interval,
-                  [this](Time latest) { record_heartbeat(latest); }),
+      downstream_(
+          io_, config_, counters_, log_, record_,
+          [this](MessageSubmitted message) {
+            if (!storage_open_) {
+              ++counters_.refused;
+              return downstream_.answer(refusal_before_start(message, reducer_.refusal_retry_after()));
+            }
+            message.journal_has_room =
+                journal_.has_room(message.id.size() + message.idempotency_key.size(), message.body->size());
+            input(message);
+          }),
+      loop_lag_monitor_(io_, config_.limits.loop_lag_check_interval, config_.limits.loop_lag_report_interval,
+                        [this](Time max_lag) { record_heartbeat(max_lag); }),
       timer_(io_),
       stop_timer_(io_),
       signals_(io_, {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2}),
       started_(steady_now()),
       storage_timer_(io_),
       storage_retry_(config_.limits.storage_retry_min, config_.limits.storage_retry_max, config_.seed),
-      launch_context_(std::move(place)),
+      launch_context_(std::move(context)),
       old_process_timer_(io_) {
   require_working_timers(io_);
 }
 
 void Relay::run() {
-  std::signal(SIGPIPE, SIG_IGN);  // a log that nobody reads must not end the relay
-  std::signal(SIGXFSZ, SIG_IGN);  // nor a file that may not grow
+  std::signal(SIGPIPE, SIG_IGN);  // a closed pipe behind the log must not end the relay
+  std::signal(SIGXFSZ, SIG_IGN);  // nor must the file size limit
   signals_.start([this](int number) { on_signal(number); });
   open_record();
   if (took_over_) {
@@ -75,34 +77,34 @@
   if (upgrade_) upgrade::remove_run_file(state_folder_);
 }
 
-// Guards against ending a connection whose request has come and has not been answered, and the end against
-// clients that send without a pause: in the end nothing more is read.
+// Answers the requests that have arrived, so that no connection closes with a request unanswered. Clients
+// that send without a pause would prolong this forever, so after the time limit nothing more is read.
 void Relay::answer_pending_requests() {
-  const Time most = config_.limits.stop_answer_wait;
+  const Time max_wait = config_.limits.stop_answer_wait;
   io_.restart();
-  if (poll_until_idle(io_, most)) return;
+  if (poll_until_idle(io_, max_wait)) return;
   downstream_.stop_reading();
-  poll_until_idle(io_, most);
+  poll_until_idle(io_, max_wait);
 }
 
-// Listens at once, so that clients hear why they are refused while the journal cannot be read.
+// Listens before the journal is open, so that clients get the reason for a refusal while it cannot be read.
 void Relay::start_fresh() {
   downstream_.listen();
   open_storage();
 }
 
-// What can only begin once the journal has been read.
+// Starts everything that needs the journal's contents.
 void Relay::start_serving() {
   input(Started{journal_.next_stream()});
   if (!config_.known_hosts.hosts.empty())
     apply_list(config_.known_hosts, config_.source != MembershipSource::list);
   restore();
   join_fleet();
-  // A list saved by an earlier life may be old, but is a list: during an outage of discovery it is the only
+  // A list stored by a previous process may be outdated, but during an outage of discovery it is the only
   // one.
   if (!config_.known_hosts.hosts.empty()) set_ready();
   if (config_.has_platform) notices_.start();
-  // Only at the start: after a reload the hosts that are held may be another source's.
+  // Only at the start: after a reload the current hosts may come from another source.
   if (config_.source == MembershipSource::platform && config_.known_hosts.full &&
       !config_.known_hosts.hosts.empty()) {
     known_version_ = config_.known_hosts.version;
@@ -114,10 +116,10 @@
 
 void Relay::restore() {
   if (journal_.truncated_bytes() > 0)
-    log_("journal", "cut a torn tail of " + std::to_string(journal_.truncated_bytes()) + " bytes");
-  const auto held = journal_.held();  // a copy: replaying writes to it
+    log_("journal", "truncated a torn tail of " + std::to_string(journal_.truncated_bytes()) + " bytes");
+  const auto held = journal_.held();  // a copy: replaying modifies the original
   for (const auto& [stream, entry] : held) {
-    // Read for each message: what those before it took must not be added to its time.
+    // Read again for each message, so that the replay of earlier ones does not prolong its deadline.
     const Time now = steady_now();
     MessageRestored restored{stream, entry};
     restored.time_left = std::max(Time(0), entry.deadline - now);
@@ -127,8 +129,8 @@
     input(restored);
   }
   if (held.empty()) return;
-  input(TimerExpired{});  // no more follow
-  log_("journal", std::to_string(held.size()) + " messages go on");
+  input(TimerExpired{});  // ends the replay
+  log_("journal", std::to_string(held.size()) + " messages restored");
 }
 
 void Relay::input(const Input& input) {
@@ -145,9 +147,9 @@
 void Relay::execute(CloseIdleConnections& e) { upstream_.close_idle(e.host); }
 void Relay::execute(RetireHost& e) { upstream_.retire(e.host); }
 void Relay::execute(PostNotice& e) {
-  if (e.stream == unrecorded_stream_) return;  // its client hears a refusal instead
+  if (e.stream == unrecorded_stream_) return;  // its client is refused instead
   if (config_.has_platform) return notices_.post(e);
-  // Without a platform the log is all that hears of it, and the end is recorded right after.
+  // Without a platform the notice goes to the log only, and the end is recorded right afterwards.
   ++counters_.ended_without_notice;
   log_("undelivered", e.id + (e.verdict == Verdict::deferred ? ": deferred" : ": undeliverable"));
   unnoticed_ends_.push_back(e.stream);
@@ -177,7 +179,7 @@
   fleet_->execute(e.effect);
 }
 
-// --- The list that one relay watches for all
+// --- The host list that one relay watches on behalf of the fleet
 void Relay::execute(const fleet::StartDiscoveryWatch& e) {
   discovery_ = std::make_shared<Discovery>(io_, config_, discovery_address_, counters_, log_,
                                            [this](HostList list, bool) { apply_own_list(std::move(list)); });
@@ -186,7 +188,7 @@
   discovery_->start();
 }
 void Relay::execute(const fleet::StopDiscoveryWatch&) {
-  if (const auto own = std::exchange(discovery_, nullptr)) own->stop();
+  if (const auto discovery = std::exchange(discovery_, nullptr)) discovery->stop();
 }
 void Relay::execute(const fleet::ApplyList& e) {
   try {
@@ -197,7 +199,7 @@
     log_("refresh", std::string("the shared list cannot be used: ") + error.what());
   }
 }
-// As all relays of the fleet know it.
+// The name that all relays of the fleet use for it.
 std::string Relay::discovery_name() const {
   const std::string& name = config_.fleet->discovery_name;
   return name.empty() ? discovery_address_.text() : name;
@@ -210,13 +212,14 @@
     handle_refresh_input(fleet::DiscoveredList{version, hosts_json(merged_list_.full_list(), config_.boot)});
 }
 
-// What this relay may do on behalf of the whole fleet: sought once it is ready, given up when it stops.
+// Configures the work on behalf of the fleet. Roles are sought once the relay is ready and resigned when it
+// stops.
 void Relay::join_fleet() {
   if (!config_.fleet) return;
   const FleetSettings& wanted = *config_.fleet;
-  fleet_ =
-      std::make_shared<FleetAgent>(io_, *config_.consul, wanted, config_.name, config_.limits, counters_,
-                                   log_, [this](fleet::Input heard) { input(FleetInput{std::move(heard)}); });
+  fleet_ = std::make_shared<FleetAgent>(
+      io_, *config_.consul, wanted, config_.name, config_.limits, counters_, log_,
+      [this](fleet::Input fleet_input) { input(FleetInput{std::move(fleet_input)}); });
   fleet::Plan plan;
   plan.roles = wanted.roles;
   plan.timing = wanted.timing;
@@ -250,7 +253,7 @@
   on_upgrade_requested();
 }
 
-// For the first time only once the journal can be written, since nothing can be taken on before.
+// The relay first becomes ready only when the journal is writable, since no message can be accepted before.
 void Relay::set_ready() {
   if (!ready_ && journal_.failure()) {
     downstream_.set_not_ready(journal_.failure()->text());
@@ -269,13 +272,13 @@
 void Relay::apply_list(HostList list, bool cached) {
   const bool any = !list.hosts.empty() || list.full;
   input(ClusterChanged{std::move(list), cached});
-  if (any) set_ready();  // the journal was replayed before
+  if (any) set_ready();  // the journal has been replayed already
 }
 
 void Relay::apply_source(const Config& wanted) {
-  const std::shared_ptr<ConsulSource> before = std::exchange(consul_, nullptr);
+  const std::shared_ptr<ConsulSource> old_consul = std::exchange(consul_, nullptr);
   const std::shared_ptr<Discovery> old_discovery = std::exchange(discovery_, nullptr);
-  if (before) before->stop();
+  if (old_consul) old_consul->stop();
   if (old_discovery) old_discovery->stop();
   const auto on_list = [this](HostList list, bool cached) { apply_list(std::move(list), cached); };
   const auto inherit = [this, &wanted](auto& source) {
@@ -287,12 +290,12 @@
     case MembershipSource::platform:
       log_("membership", "from the platform, at " + wanted.discovery.text());
       if (shares_list()) {
-        fleet::RefreshStarted begin{discovery_name(), std::nullopt, false};
+        fleet::RefreshStarted started{discovery_name(), std::nullopt, false};
         if (const auto version = std::exchange(known_version_, std::nullopt)) {
           merged_list_.apply(config_.known_hosts);
-          begin.known = fleet::DiscoveredList{*version, hosts_json(config_.known_hosts, config_.boot)};
+          started.known = fleet::DiscoveredList{*version, hosts_json(config_.known_hosts, config_.boot)};
         }
-        return handle_refresh_input(std::move(begin));
+        return handle_refresh_input(std::move(started));
       }
       discovery_ = std::make_shared<Discovery>(io_, config_, wanted.discovery, counters_, log_, on_list);
       inherit(*discovery_);
@@ -308,15 +311,15 @@
           io_, *wanted.consul,
           ConsulSourceContext{
               config_.name, wanted.seed, {config_.boot.zones, config_.boot.kinds}, state_folder_},
-          config_.limits, counters_, log_, on_list, before.get());
+          config_.limits, counters_, log_, on_list, old_consul.get());
       inherit(*consul_);
       if (ready_) consul_->set_ready();
       consul_->start();
   }
 }
 
-// A new file is taken whole or not at all: one that cannot be used changes nothing. What is held, out or owed
-// goes on, and discovery's list stands until the new address has sent one.
+// Applies a new configuration completely or not at all. Held messages, calls in flight and pending notices
+// are unaffected, and the current list stays until the new discovery address has sent one.
 void Relay::reload() {
   if (!storage_open_) {
     reload_pending_ = true;
@@ -330,19 +333,20 @@
       log_("reload", part + " has changed and needs a restart; the old one stays");
     }
     ++counters_.reloads;
-    const bool moved = wanted.discovery != discovery_address_;
+    const bool discovery_moved = wanted.discovery != discovery_address_;
     discovery_address_ = wanted.discovery;
-    if (config_.has_platform && moved) notices_.redirect(wanted.discovery);
-    // Who follows the shared list has no watch of its own, but discovery all the same.
+    if (config_.has_platform && discovery_moved) notices_.redirect(wanted.discovery);
+    // A relay that follows the shared list has no watch of its own, but discovery is still its source.
     const bool from_platform = discovery_ || (reducer_.fleet() && reducer_.fleet()->follows_shared_list());
     if (wanted.source == MembershipSource::platform && from_platform) {
-      if (!moved) return log_("reload", "discovery has not moved");
+      if (!discovery_moved) return log_("reload", "the address of discovery is unchanged");
       log_("reload", "discovery is at " + wanted.discovery.text());
       if (shares_list())
         return handle_refresh_input(fleet::RefreshStarted{discovery_name(), std::nullopt, true});
       return discovery_->redirect(wanted.discovery);
     }
-    // Guards the relay's registration against being given back and made anew at once, which may cross.
+    // Otherwise the registration would be removed and created again at once, and the two requests can
+    // overtake each other.
     if (wanted.source == MembershipSource::consul && consul_ && consul_->settings() == *wanted.consul) {
       return log_("reload", "nothing of Consul has changed");
     }
@@ -352,8 +356,8 @@
   }
 }
 
-// Listens, answers and journals on to the end. Clients are sent elsewhere as they are answered, no call
-// starts that may outlast the process, and what is still held is for the next life.
+// Keeps listening, answering and journaling until the end. Connections close once they are answered, no call
+// starts that could outlast the process, and the next process continues the messages still held.
 void Relay::stop() {
   stopping_ = true;
   const Limits& limits = config_.limits;
@@ -376,14 +380,14 @@
   });
 }
 
-// Names by position and what the classes want, for whoever reads the record later.
+// The record's legend holds the names by index and the classes' time limits, for reading it later.
 void Relay::open_record() {
-  const std::string in_state = state_folder_ + "/" + record::kFileName;
-  // Guards the disk's limit against one that an earlier life has left.
-  if (!config_.record || !config_.record->folder.empty()) ::unlink(in_state.c_str());
+  const std::string default_path = state_folder_ + "/" + record::kFileName;
+  // A record left by a previous process would count against the disk limit.
+  if (!config_.record || !config_.record->folder.empty()) ::unlink(default_path.c_str());
   if (!config_.record) return;
   const std::string path =
-      config_.record->folder.empty() ? in_state : config_.record->folder + "/" + config_.name + ".record";
+      config_.record->folder.empty() ? default_path : config_.record->folder + "/" + config_.name + ".record";
   const wire::InstanceSettings& boot = config_.boot;
   std::vector<record::ClassLegend> classes;
   for (std::size_t i = 0; i < boot.classes.size(); ++i) {
@@ -394,21 +398,21 @@
     record_.open(path, record::record_file_size(config_.record->file_bytes),
                  record::legend_text({config_.name, std::move(classes), boot.tenants}));
   } catch (const record::RecordError& e) {
-    return log_("record", std::string("there is none: ") + e.what());
+    return log_("record", std::string("not available: ") + e.what());
   }
   record_.note(record::Kind::began, 0, 0, {static_cast<std::uint32_t>(::getpid())}, config_.name);
-  loop_watch_.start();
+  loop_lag_monitor_.start();
 }
 
-void Relay::record_heartbeat(Time latest) {
+void Relay::record_heartbeat(Time max_lag) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
-  const auto time_of = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
-  const Time cpu = time_of(usage.ru_utime) + time_of(usage.ru_stime);
+  const auto to_time = [](const timeval& t) { return std::chrono::seconds(t.tv_sec) + Time(t.tv_usec); };
+  const Time cpu = to_time(usage.ru_utime) + to_time(usage.ru_stime);
   const auto count = [](std::size_t n) { return static_cast<std::uint32_t>(n); };
   record_.note(
       record::Kind::beat, 0,
-      static_cast<std::uint16_t>(std::min<Time::rep>(latest.count() / 1000, UINT16_MAX)),
+      static_cast<std::uint16_t>(std::min<Time::rep>(max_lag.count() / 1000, UINT16_MAX)),
       {count(journal_.held().size()), count(upstream_.active_calls()), count(downstream_.connections())});
   record_.note(record::Kind::load, 0, 0,
                {record::us32(cpu - std::exchange(recorded_cpu_, cpu)),
--- a/src/relay/relay_drain.cpp
+++ b/src/relay/relay_drain.cpp
@@ -1,4 +1,4 @@
-// The relay's planned outages: stops, upgrades and releases, each with a slot of the fleet's disruption
+// Planned outages of the relay: stops, upgrades and releases, each under a slot of the fleet's disruption
 // budget.
 #include <unistd.h>
 
@@ -14,26 +14,26 @@
 namespace fennellane {
 namespace {
 
-// The session of the slot with which this life went out, for the next one to give back.
+// Holds the session of the slot under which this process stopped, for the next process to release it.
 constexpr const char* kSlotFile = "/slot";
 
 }  // namespace
 
 void Relay::execute(const drain::Effect& e) {
-  if (const auto* said = std::get_if<drain::LogMessage>(&e); said && upgrade_pending_) {
+  if (const auto* message = std::get_if<drain::LogMessage>(&e); message && upgrade_pending_) {
     upgrade::write_run_file(state_folder_,
-                            {::getpid(), 0, finished_upgrades_, true, "waits for a slot: " + said->text});
+                            {::getpid(), 0, finished_upgrades_, true, "waits for a slot: " + message->text});
   }
-  const auto* const go = std::get_if<drain::GoOffline>(&e);
-  if (!go) return fleet_->execute(fleet::DrainEffect{e});
-  if (go->purpose == drain::Purpose::stop) {
-    // Guards against a slot that nobody gives back before it lapses.
-    replace_file(state_folder_ + kSlotFile, state_folder_ + kSlotFile + ".new", go->session + "\n");
+  const auto* const go_offline = std::get_if<drain::GoOffline>(&e);
+  if (!go_offline) return fleet_->execute(fleet::DrainEffect{e});
+  if (go_offline->purpose == drain::Purpose::stop) {
+    // Lets the next process release the slot; otherwise it stays acquired until it lapses.
+    replace_file(state_folder_ + kSlotFile, state_folder_ + kSlotFile + ".new", go_offline->session + "\n");
     return stop();
   }
   planned_outage_ = PlannedOutage::upgrade;
   upgrade_pending_ = false;
-  // In a turn of its own: the effects of this input are carried out before the relay stands still.
+  // Posted, so that the effects of this input are executed before the relay freezes.
   asio::post(io_, [this] { start_upgrade(""); });
 }
 
@@ -50,13 +50,13 @@
   upgrade_->request_upgrade(program);
 }
 
-// The relay serves on as it was.
-void Relay::planned_outage_failed(const std::string& why) {
-  const PlannedOutage outing = std::exchange(planned_outage_, PlannedOutage::none);
-  if (outing == PlannedOutage::none) return;
-  asio::post(io_, [this, outing, why] {
-    if (outing == PlannedOutage::release)
-      return input(FleetInput{fleet::MoverInput{release::MoveFailed{why}}});
+// Cancels the planned outage; the relay keeps serving.
+void Relay::planned_outage_failed(const std::string& reason) {
+  const PlannedOutage outage = std::exchange(planned_outage_, PlannedOutage::none);
+  if (outage == PlannedOutage::none) return;
+  asio::post(io_, [this, outage, reason] {
+    if (outage == PlannedOutage::release)
+      return input(FleetInput{fleet::MoverInput{release::MoveFailed{reason}}});
     handle_drain_input(drain::OutageEnded{});
   });
 }
@@ -68,19 +68,19 @@
     return upgrade_->request_upgrade();
   }
   if (planned_outage_ != PlannedOutage::none || stop_pending_)
-    return log_("upgrade", "another outing is under way, or waits for a slot");
+    return log_("upgrade", "another planned outage is under way or waits for a slot");
   upgrade_pending_ = true;
   log_("upgrade", "waits for a slot of the disruption budget");
   handle_drain_input(drain::Ask{drain::Purpose::upgrade});
 }
 
-// The first SIGTERM waits for a slot, and the relay serves on meanwhile; a second one, or SIGINT, is obeyed
+// After the first SIGTERM the relay keeps serving until it has a slot; a second SIGTERM or a SIGINT stops it
 // at once.
 void Relay::on_stop_requested(int signal) {
   const bool with_slot = config_.fleet && config_.fleet->drain && config_.fleet->drain->on_sigterm;
   if (!with_slot || signal != SIGTERM || std::exchange(stop_pending_, true)) return stop();
-  log_("", "is to stop, and waits for a slot of the disruption budget; a second SIGTERM stops at once");
-  planned_outage_ = PlannedOutage::none;  // the slot of one that is under way serves for the stop
+  log_("", "stop requested: waits for a slot of the disruption budget; a second SIGTERM stops at once");
+  planned_outage_ = PlannedOutage::none;  // a slot acquired for another outage covers the stop
   upgrade_pending_ = false;
   if (upgrade_) upgrade_->abort_upgrade("the relay is to stop");
   handle_drain_input(drain::Ask{drain::Purpose::stop});
@@ -91,7 +91,7 @@
   std::string session;
   if (!(in >> session) || !is_plain_name(session)) return;
   slot_adopted_ = true;
-  log_("drain", "an earlier life went out with session " + session);
+  log_("drain", "the previous process stopped with session " + session);
   handle_drain_input(drain::Adopt{session});
   if (ready_) release_slot();
 }
--- a/src/relay/relay_storage.cpp
+++ b/src/relay/relay_storage.cpp
@@ -1,4 +1,4 @@
-// The relay's part in storage: opening the journal, carrying records out, and going on while storage fails.
+// Storage in the relay: opens the journal, writes records, and keeps serving while storage fails.
 #include <cerrno>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace fennellane {
 namespace {
 
-// Whether a state folder that cannot be opened with this errno is one that an operator has to see to.
+// Whether this errno, from opening the state folder, needs an operator's attention.
 bool is_unusable(int error) {
   switch (error) {
     case ENOENT:
@@ -32,8 +32,9 @@
 
 }  // namespace
 
-// Tries until the journal has been read. A folder that is no use gets its time, since a disk may be about to
-// be mounted; another process's, and one whose file is no journal, does not get better by itself.
+// Retries until the journal has been read. An unusable folder is retried until `startup_wait`, since its disk
+// may be mounted late, and one that another process has locked until `lock_timeout`. A file that is no
+// journal is an error at once.
 void Relay::open_storage() {
   const Limits& limits = config_.limits;
   try {
@@ -46,7 +47,8 @@
         (is_unusable(e.error()) && waited >= limits.startup_wait)) {
       throw;
     }
-    if (!std::exchange(open_failure_logged_, true)) log_("storage", std::string("not yet open: ") + e.what());
+    if (!std::exchange(open_failure_logged_, true))
+      log_("storage", std::string("cannot be opened yet: ") + e.what());
     downstream_.set_not_ready(e.what());
     storage_timer_.expires_after(storage_retry_.next_delay());
     storage_timer_.async_wait([this](asio::error_code error) {
@@ -79,7 +81,7 @@
 }
 void Relay::execute(RecordEnded& e) { journal_.message_ended(e.stream); }
 
-// What belongs to a message that could not be recorded is not carried out.
+// Effects of a message that could not be recorded are not executed.
 bool Relay::is_dropped(const Effect& effect) const {
   if (!unrecorded_stream_) return false;
   const auto* const call = std::get_if<StartCall>(&effect);
@@ -87,7 +89,7 @@
   return (call && call->stream == unrecorded_stream_) || (given_up && given_up->stream == unrecorded_stream_);
 }
 
-// A client whose message could not be recorded hears a refusal.
+// A client whose message could not be recorded gets a refusal.
 void Relay::execute(SendAnswer& e) {
   if (e.stream != 0 && e.stream == unrecorded_stream_) {
     ++counters_.storage_refused;
@@ -105,7 +107,7 @@
   upstream_.end_unsent(e.stream, e.attempt);
 }
 
-// Behind the effects of each input: what of them could not be recorded, and whether storage has changed.
+// After the effects of each input: reports a message that could not be recorded and a change of storage.
 void Relay::report_storage_state() {
   if (const auto stream = std::exchange(unrecorded_stream_, std::nullopt)) input(RecordingFailed{*stream});
   const bool writable = !journal_.failure();
--- a/src/relay/relay_upgrade.cpp
+++ b/src/relay/relay_upgrade.cpp
@@ -1,4 +1,4 @@
-// The relay's part in a handover to a new process, and from an old one.
+// The relay's part in a hot upgrade: handing over to a new process and taking over from an old one.
 #include <unistd.h>
 
 #include <asio/post.hpp>
@@ -32,7 +32,7 @@
   archive(size);
   if (size != sizeof counters_) throw starlinghook::SnapshotError("the counters are of another version");
   archive(cereal::binary_data(&counters_, sizeof counters_));
-  // With the one that is under way: the new process may be asked for the next at once.
+  // Counts the upgrade under way, since the next one may be requested from the new process at once.
   std::uint64_t upgrades = finished_upgrades_ + 1;
   archive(unnoticed_ends_, ready_, upgrades);
   if (Archive::is_loading::value) finished_upgrades_ = upgrades;
@@ -56,7 +56,7 @@
 
 void Relay::load(const std::string& state, IncomingDescriptors& descriptors) {
   read_snapshot(state, "the relay's state", kSnapshotVersion, [&](SnapshotReader& archive) {
-    Config running = config_;  // but for what goes along
+    Config running = config_;  // apart from what the state overwrites
     std::uint32_t lock = 0;
     archive(running.name, running.listen, running.raw_settings, frozen_since_, old_pid_, lock);
     const std::vector<std::string> changed = changed_fixed_parts(running, config_);
@@ -79,13 +79,13 @@
   storage_open_ = true;
 }
 
-// Clients first: they are the ones who wait.
+// Resumes clients first, since they are waiting.
 void Relay::start_after_takeover() {
-  // Guards against a request that has been read being answered as if the relay had only just begun.
+  // Otherwise a request that has been read already would be answered as by a relay that is not ready yet.
   if (ready_) downstream_.set_ready();
   upstream_.resume();
   downstream_.resume();
-  const Time pause = steady_now() - frozen_since_;
+  const Time downtime = steady_now() - frozen_since_;
   if (reducer_.next_timer() != Time::max()) {
     SetTimer timer{reducer_.next_timer()};
     execute(timer);
@@ -93,21 +93,21 @@
   if (!unnoticed_ends_.empty()) asio::post(io_, [this] { complete_unnoticed(); });
   if (config_.has_platform) notices_.start();
   join_fleet();
-  // The handover for which a slot was taken is over.
+  // The upgrade for which the slot was acquired is over.
   if (const fleet::Fleet* f = reducer_.fleet();
       f && f->slot() && f->slot()->step() == drain::Slot::Step::offline)
     handle_drain_input(drain::OutageEnded{});
   apply_source(config_);
   inherited_watch_.clear();
-  log_("upgrade", "serves after " + ms_text(pause) + ", with " + std::to_string(journal_.held().size()) +
+  log_("upgrade", "serves after " + ms_text(downtime) + ", with " + std::to_string(journal_.held().size()) +
                       " messages, " + std::to_string(downstream_.connections()) + " clients, " +
-                      std::to_string(upstream_.active_calls()) + " calls out");
+                      std::to_string(upstream_.active_calls()) + " calls in flight");
   enable_upgrades();
 }
 
-// Makes upgrades possible, where they are wanted.
+// Enables upgrades if they are configured.
 void Relay::enable_upgrades() {
-  if (!config_.upgrade) return upgrade::remove_run_file(state_folder_);  // of an earlier life
+  if (!config_.upgrade) return upgrade::remove_run_file(state_folder_);  // of a previous process
   const UpgradeSettings& wanted = *config_.upgrade;
   upgrade::CommandLine command = launch_context_.command;
   if (!wanted.program.empty()) command.program = command.arguments.front() = wanted.program;
@@ -126,13 +126,13 @@
   old_process_channel_.emplace(io_, channel.release());
 }
 
-// Waits for the old process to be gone, and looks after what it may not have done.
+// Waits until the old process is gone, then does what it may have left undone.
 void Relay::await_old_process_exit() {
-  const auto when_gone = [this] {
-    constexpr std::chrono::milliseconds kLook{5};
-    // Its files close before its children have another parent.
+  const auto on_channel_closed = [this] {
+    constexpr std::chrono::milliseconds kPollInterval{5};
+    // A process's files are closed before its children get another parent.
     if (::getppid() == old_pid_) {
-      old_process_timer_.expires_after(kLook);
+      old_process_timer_.expires_after(kPollInterval);
       return old_process_timer_.async_wait([this](asio::error_code error) {
         if (!error) await_old_process_exit();
       });
@@ -145,25 +145,25 @@
                                             "the old process died, and this one serves"});
   };
   old_process_channel_->async_wait(asio::posix::stream_descriptor::wait_read,
-                                   [when_gone](asio::error_code error) {
-                                     if (!error) when_gone();
+                                   [on_channel_closed](asio::error_code error) {
+                                     if (!error) on_channel_closed();
                                    });
 }
 
 void Relay::upgrade_started(pid_t new_process) {
-  // Guards the watcher against not knowing whom to follow.
+  // Without this file the watcher would not know which process to follow.
   if (!upgrade::write_run_file(
           state_folder_, {::getpid(), new_process, finished_upgrades_, true, "an upgrade is under way"})) {
     throw JournalError("the state folder takes no file");
   }
 }
 
-void Relay::upgrade_failed(const std::string& why) {
-  upgrade::write_run_file(state_folder_, {::getpid(), 0, ++finished_upgrades_, false, why});
-  planned_outage_failed(why);
+void Relay::upgrade_failed(const std::string& reason) {
+  upgrade::write_run_file(state_folder_, {::getpid(), 0, ++finished_upgrades_, false, reason});
+  planned_outage_failed(reason);
 }
 
-// Everything that is open stays open in the other process, so nothing is closed but by this one's end.
+// Everything open here stays open in the new process, so this one just exits and closes nothing itself.
 void Relay::exit_after_handover(pid_t new_process) {
   upgrade::write_run_file(state_folder_, {new_process, 0, finished_upgrades_ + 1, true,
                                           "process " + std::to_string(new_process) + " serves"});
@@ -176,7 +176,7 @@
 }
 
 void Relay::restart_from_journal() {
-  log_("upgrade", "begins again from the journal");
+  log_("upgrade", "restarts from the journal");
   upgrade::reexec(launch_context_.command, launch_context_.watcher);
   std::_Exit(1);
 }
--- a/tests/relay_fixture.hpp
+++ b/tests/relay_fixture.hpp
@@ -1,5 +1,5 @@
-// The program itself, started as a process and spoken to over loopback sockets on ephemeral ports. Nothing
-// here depends on how fast the machine is: each step waits until it has happened, or for long.
+// Runs the program as a process and talks to it over loopback sockets on ephemeral ports. Nothing here
+// depends on the machine's speed: each step waits for its condition, with a long timeout.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   return "127.0.0.1:" + std::to_string(free.local_endpoint().port());
 }
 
-// The program, configured as beside the platform.
+// The program with the configuration that the platform would give it.
 class RelayProgram : public standin::RelayProcess {
  public:
   explicit RelayProgram(const std::string& discovery, ConfigParts parts = {})
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// The relay as a whole, over sockets.
+// The relay program as a whole, over sockets.
 #include "relay_fixture.hpp"
 
 namespace fennellane {
@@ -6,7 +6,7 @@
 
 using namespace test;
 
-// A relay that serves, and one host that delivers all.
+// A running relay and one host that accepts every message.
 class RelayToOneHost : public testing::Test {
  protected:
   RelayToOneHost() { relay.start(); }
@@ -15,7 +15,7 @@
   RelayProgram relay{platform.address()};
 };
 
-TEST(Relay, DeliversWhatItTakes) {
+TEST(Relay, DeliversAcceptedMessages) {
   Server host([](const Request&) { return answer("200 OK", "fine", "X-Load-Report: x0=0.4,x1=25\r\n"); });
   Platform platform({{"s-1", host.address()}});
   RelayProgram relay(platform.address());
@@ -34,7 +34,7 @@
   EXPECT_TRUE(relay.runs());
 }
 
-TEST_F(RelayToOneHost, AnswersBadInputAndLivesOn) {
+TEST_F(RelayToOneHost, AnswersBadInputAndKeepsServing) {
   EXPECT_EQ(relay.ask("nonsense\r\n\r\n"), 400u);
   EXPECT_EQ(relay.ask("GET /note HTTP/1.1\r\n\r\n"), 405u);
   EXPECT_EQ(relay.ask("GET /nowhere HTTP/1.1\r\n\r\n"), 404u);
@@ -42,7 +42,7 @@
   EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Length: 0\r\n\r\n"), 400u);
   EXPECT_EQ(relay.ask(request_text("big", std::string(64 * 1024 + 1, 'x'))), 413u);
   EXPECT_EQ(relay.ask("GET /up HTTP/1.1\r\nX: " + std::string(20000, 'x')), 431u);
-  EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Le", true), 0u);  // half a request: no answer, no harm
+  EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Le", true), 0u);  // half a request gets no answer
   EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Le"), 408u);
   for (unsigned seed = 0; seed < 100; ++seed) {
     std::mt19937 random(seed);
@@ -53,10 +53,8 @@
   EXPECT_TRUE(relay.runs());
 }
 
-// A crash with a call out: one that may be repeated goes out again, one that must not ends by a notice, and
-// one that was never sent goes on.
-// A call without the key of its message is one that no client has handed in.
-TEST(Relay, PassesTheIdempotencyKeyOnInEachCallAlsoAfterAKill) {
+// Each call must carry the idempotency key that the client submitted with the message.
+TEST(Relay, SendsTheIdempotencyKeyInEachCallAlsoAfterAKill) {
   std::atomic<bool> refuses = true;
   Server host([&](const Request&) { return refuses ? answer("503 Full") : answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
@@ -74,10 +72,13 @@
   for (const Request& r : host.requests()) EXPECT_EQ(r.idempotency_key, "5c0f6e1a2b3d4c59");
 }
 
-TEST(Relay, OwesItsMessagesAcrossAKill) {
+// A crash with calls in flight: a message that may be repeated is sent again, one that must not be ends with
+// a notice, and one that was certainly not processed is retried.
+TEST(Relay, KeepsItsMessagesAcrossAKill) {
   std::atomic<bool> silent = true;
   Server host([&](const Request&) { return silent ? "" : answer("200 OK"); });
-  // The wait keeps a second try from being out at the kill; it ends with the process that heard it.
+  // The requested wait keeps a second attempt from being in flight at the kill; it is not kept across a
+  // restart.
   Server other([&](const Request&) {
     return silent ? answer("429 Wait", "", "X-Come-Back-Ms: 12000\r\n") : answer("200 OK");
   });
@@ -88,8 +89,7 @@
   EXPECT_EQ(relay.ask(request_text("pay1", "x", "pay", 8)), 202u);
   EXPECT_EQ(relay.ask(request_text("pay2", "y", "pay", 9)), 202u);
   ASSERT_TRUE(happens([&] { return host.count("note1") == 1 && host.count("pay1") == 1; }));
-  // Not when the host has seen the call, but when its refusal is recorded: until then pay2 may have run as
-  // well.
+  // Waits for the refusal to be recorded, not just for the call: until then pay2 may have run as well.
   ASSERT_TRUE(happens([&] {
     relay.signal(SIGUSR1);
     return relay.log().find("answer.full=1") != std::string::npos;
@@ -108,7 +108,7 @@
   })) << relay.log();
 }
 
-TEST_F(RelayToOneHost, AnswersOnAfterSigtermAndEndsCleanly) {
+TEST_F(RelayToOneHost, KeepsAnsweringAfterSigtermAndExitsCleanly) {
   relay.signal(SIGTERM);
   ASSERT_TRUE(happens([&] { return relay.log().find("stopping") != std::string::npos; }));
   EXPECT_EQ(relay.ask(request_text("late")), 202u);
@@ -117,8 +117,9 @@
   EXPECT_NE(relay.log().find("counters clients="), std::string::npos);
 }
 
-// Clients that send without a pause, also behind their answer, leave no moment in which nothing is ready.
-TEST_F(RelayToOneHost, EndsAfterSigtermWhileClientsSendWithoutAPause) {
+// Clients that pipeline without a pause keep their connections readable all the time, so waiting for an idle
+// moment would never end.
+TEST_F(RelayToOneHost, ExitsAfterSigtermWhileClientsSendWithoutAPause) {
   constexpr std::size_t kClients = 6, kRequestsAtOnce = 2000;
   std::string requests;
   for (std::size_t i = 0; i < kRequestsAtOnce; ++i) requests += "GET /up HTTP/1.1\r\nHost: relay\r\n\r\n";
@@ -142,9 +143,9 @@
   EXPECT_EQ(code, 0);
 }
 
-// Callers have only so many connections for one relay, a third of its descriptors. Guards against those that
-// ask once and stay using them up: the longest idle close early, while one that is used again stays.
-TEST(Relay, ClosesTheLongestIdleBeforeCallersHaveNoConnectionLeft) {
+// Submitting clients may use a third of the relay's descriptors. Connections that are used once and stay open
+// must not use them up: the longest idle ones close early, while one in use stays.
+TEST(Relay, ClosesTheLongestIdleBeforeClientsHaveNoConnectionLeft) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
   ConfigParts parts;
@@ -154,15 +155,15 @@
   constexpr int kClients = 150, kThird = 80;
   asio::io_context io;
   std::vector<tcp::socket> clients;
-  tcp::socket usual = relay.connected(io);
+  tcp::socket used = relay.connected(io);
   char piece[512];
   const auto ask = [&](tcp::socket& socket, const std::string& id) {
     asio::write(socket, asio::buffer(request_text(id)));
     return std::string(piece, socket.read_some(asio::buffer(piece)));
   };
-  int open_most = 0;
+  int max_open = 0;
   for (int i = 0; i < kClients; ++i) {
-    ASSERT_NE(ask(usual, "usual" + std::to_string(i)).find("202"), std::string::npos) << i;
+    ASSERT_NE(ask(used, "usual" + std::to_string(i)).find("202"), std::string::npos) << i;
     clients.push_back(relay.connected(io));
     ASSERT_NE(ask(clients.back(), "once" + std::to_string(i)).find("202"), std::string::npos) << i;
     int open = 0;
@@ -170,13 +171,13 @@
       const ssize_t n = ::recv(client.native_handle(), piece, 1, MSG_PEEK | MSG_DONTWAIT);
       open += n < 0 && errno == EAGAIN;
     }
-    open_most = std::max(open_most, open);
+    max_open = std::max(max_open, open);
   }
-  EXPECT_LT(open_most, kThird);
+  EXPECT_LT(max_open, kThird);
 }
 
-// Many requests at once on one connection are answered one by one, all of them, though the loop turns to
-// others in between.
+// Many pipelined requests on one connection are all answered, although the loop serves other connections in
+// between.
 TEST_F(RelayToOneHost, AnswersAllOfManyRequestsAtOnce) {
   constexpr int kRequests = 1000;
   asio::io_context io;
@@ -201,9 +202,9 @@
   EXPECT_EQ(answers, kRequests);
 }
 
-// Guards the places, and the system's memory, against a client that asks on and reads nothing: it is cut off,
-// long before it would count as idle.
-TEST_F(RelayToOneHost, CutsOffAClientThatReadsNothing) {
+// A client that keeps sending requests and reads no answers would occupy a connection slot and buffer memory:
+// it is disconnected long before it would count as idle.
+TEST_F(RelayToOneHost, DisconnectsAClientThatReadsNothing) {
   asio::io_context io;
   tcp::socket client = relay.connected(io);
   client.non_blocking(true);
@@ -215,9 +216,8 @@
   }));
 }
 
-// Guards against discovery's garbage: it is logged, the list held before still stands, and a watch is taken
-// up again.
-TEST(Relay, OutlivesALineOfDiscoveryThatCannotBeRead) {
+// Unreadable data from discovery is logged, the current list stays, and the watch is started again.
+TEST(Relay, KeepsServingAfterAnUnreadableLineOfDiscovery) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}}, "{\"version\":\n");
   RelayProgram relay(platform.address());
@@ -227,8 +227,8 @@
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; }));
 }
 
-// Guards against answers that are no answers: the connection is dropped and the message is tried again.
-TEST(Relay, OutlivesAnAnswerThatCannotBeRead) {
+// After an unreadable or unexpected answer the connection is closed and the message is sent again.
+TEST(Relay, KeepsServingAfterAnUnreadableAnswer) {
   std::atomic<int> calls = 0;
   Server host([&](const Request&) {
     return ++calls == 1 ? "SMTP ready\r\n\r\n" : calls == 2 ? answer("302 Found") : answer("200 OK");
@@ -240,9 +240,9 @@
   EXPECT_TRUE(happens([&] { return host.count("a1") == 3; })) << relay.log();
 }
 
-// Guards against a reload that ends the program or leaves a part of it at the old address: the list is
-// fetched whole (the new versions are lower), and messages held and notices owed go on by it.
-TEST(Relay, GoesOnAtTheAddressOfANewConfiguration) {
+// A reload must neither end the program nor leave a part of it at the old address: the full list is fetched
+// (the new versions are lower), and held messages and pending notices continue with it.
+TEST(Relay, ContinuesAtTheAddressOfANewConfiguration) {
   Server first([](const Request&) { return answer("503 Full"); });
   Server second([](const Request&) { return answer("200 OK"); });
   Server failing([](const Request&) { return answer("500 Bad"); });
@@ -256,7 +256,7 @@
   relay.move_discovery(next.address());
   EXPECT_TRUE(happens([&] { return second.count("held") == 1; })) << relay.log();
   EXPECT_TRUE(happens([&] { return next.watches() >= 1; }));
-  // During an outage of discovery, and with a notice that the old address did not take.
+  // During an outage of discovery, and with a notice that the old address did not accept.
   old_platform.reset();
   relay.move_discovery(refusing_address());
   ASSERT_TRUE(happens([&] { return relay.logged("reload: discovery is at") == 2; })) << relay.log();
@@ -269,16 +269,17 @@
   EXPECT_TRUE(relay.runs());
 }
 
-// Guards against half a file being taken: what cannot be used is said in one line and changes nothing.
-TEST_F(RelayToOneHost, KeepsItsConfigurationWhereTheNewOneCannotBeUsed) {
-  std::size_t said = 0;
+// A configuration that cannot be used is reported in one line and changes nothing.
+TEST_F(RelayToOneHost, KeepsItsConfigurationIfTheNewOneCannotBeUsed) {
+  std::size_t rejections = 0;
   for (const std::string bad : {"", "{\"name\":", "{}", "moved"}) {
     ConfigParts parts;
     parts.discovery = "discovery.example:8500";  // a name, and there is no DNS
     relay.replace_config(bad == "moved" ? config_json(parts) : bad);
     relay.signal(SIGHUP);
-    ++said;
-    ASSERT_TRUE(happens([&] { return relay.logged("the old configuration stays") == said; })) << relay.log();
+    ++rejections;
+    ASSERT_TRUE(happens([&] { return relay.logged("the old configuration stays") == rejections; }))
+        << relay.log();
   }
   ConfigParts other;
   other.discovery = platform.address();
@@ -288,15 +289,15 @@
   EXPECT_TRUE(happens([&] { return relay.logged("needs a restart") == 2; })) << relay.log();
   EXPECT_EQ(relay.ask(request_text("a1")), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; }));
-  // On a relay that drains, too.
+  // Also while the relay is stopping.
   relay.signal(SIGTERM);
   relay.signal(SIGHUP);
   EXPECT_EQ(relay.end(SIGTERM), 0);
 }
 
-// Guards the rule on duplicates: an answer that cannot be read to its end tells nothing but what its first
-// line does, so a message that must not be repeated is not sent again, whatever the head said.
-TEST(Relay, TakesASpoiltAnswerForWhatItsFirstLineSaysAtMost) {
+// From an answer that cannot be read to its end at most the status line counts. A message that must not be
+// repeated is not sent again, whatever the header said.
+TEST(Relay, TrustsAtMostTheStatusLineOfAnUnreadableAnswer) {
   const std::map<std::string, std::string> delivered = {
       {"d1", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(200000, 'x')},
       {"d2", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n"},
@@ -304,20 +305,20 @@
       {"d4", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"},
       {"d5",
        "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer("200 OK")}};
-  const std::map<std::string, std::string> doubtful = {
+  const std::map<std::string, std::string> uncertain = {
       {"u1", "HTTP/1.1 503 Full\r\nContent-Length: 5\r\n\r\nabc"},
       {"u2", "HTTP/1.1 504 Spent\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"},
       {"u3", "HTTP/1.1 410 Over\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"},
       {"u4", "\x01\x02\x03\x04"},
       {"u5", "HTTP/1.1 429 Wait\r\nX-Come-Back-Ms: 5\r\nno end"}};
   Server host([&](const Request& r) {
-    const auto d = delivered.find(r.id), u = doubtful.find(r.id);
-    return d != delivered.end() ? d->second : u != doubtful.end() ? u->second : answer("200 OK");
+    const auto d = delivered.find(r.id), u = uncertain.find(r.id);
+    return d != delivered.end() ? d->second : u != uncertain.end() ? u->second : answer("200 OK");
   });
-  // Each doubtful answer has a destination of its own, as a host that gave one rests.
+  // Each uncertain answer has a destination of its own, since a host that gave one backs off.
   std::vector<HostLine> hosts = {{"s-1", host.address(), 7}};
   std::map<std::string, int> destinations;
-  for (const auto& [id, text] : doubtful) {
+  for (const auto& [id, text] : uncertain) {
     destinations[id] = 8 + static_cast<int>(destinations.size());
     hosts.push_back({"s-" + id, host.address(), destinations[id]});
   }
@@ -329,7 +330,7 @@
     ASSERT_TRUE(happens([&] { return relay.counter("delivered") == relay.counter("taken"); }))
         << id << relay.log();
   }
-  for (const auto& [id, text] : doubtful) {
+  for (const auto& [id, text] : uncertain) {
     EXPECT_EQ(relay.ask(request_text(id, "x", "pay", destinations[id])), 202u);
     ASSERT_TRUE(happens([&] {
       return platform.noticed("{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}");
@@ -343,9 +344,9 @@
   }
 }
 
-// Guards against bytes behind a good answer being taken for the answer to the next call: the answer counts,
-// and the connection is used no more.
-TEST(Relay, ClosesAConnectionOnWhichMoreCameThanAnAnswer) {
+// Bytes after a valid answer must not be taken for the answer to the next call: the answer counts, and the
+// connection is not used again.
+TEST(Relay, ClosesAConnectionWithBytesAfterAnAnswer) {
   std::atomic<int> calls = 0;
   Server host([&](const Request& r) {
     ++calls;
@@ -365,9 +366,9 @@
   EXPECT_EQ(relay.counter("reused"), 0u);
 }
 
-// Guards the places: one who connects and says nothing, or half of something, is sent away soon; an answered
-// one may stay.
-TEST(Relay, SendsAwayThoseWhoOnlyHoldAPlace) {
+// Connections that send nothing or half a request are closed early, so that they do not occupy the connection
+// slots; an answered one may stay.
+TEST(Relay, ClosesConnectionsThatOnlyOccupyASlot) {
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
   ConfigParts small;
@@ -378,7 +379,7 @@
   EXPECT_EQ(relay.ask(""), 0u);
   EXPECT_EQ(relay.ask("POST /note HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"), 408u);
   EXPECT_GE(std::chrono::steady_clock::now() - begin, seconds(2));
-  // Many more than there are places for, of both kinds, and usual clients among them.
+  // Many more than there are slots for, of both kinds, with ordinary clients in between.
   asio::io_context io;
   std::vector<tcp::socket> silent;
   for (int i = 0; i < 200; ++i) {
@@ -393,24 +394,24 @@
   EXPECT_GT(relay.counter("made_way"), 0u);
 }
 
-// How long a usual client waits behind so many connections on each of which a text was sent, and which stay.
+// How long an ordinary client waits for its answer behind `count` open connections that each sent `text`.
 std::chrono::steady_clock::duration answer_time_behind(const RelayProgram& relay, int count,
                                                        const std::string& text) {
   asio::io_context io;
-  std::vector<tcp::socket> staying;
+  std::vector<tcp::socket> connections;
   for (int i = 0; i < count; ++i) {
-    staying.push_back(relay.connected(io));
+    connections.push_back(relay.connected(io));
     asio::error_code error;
-    asio::write(staying.back(), asio::buffer(text), error);
+    asio::write(connections.back(), asio::buffer(text), error);
   }
   const auto begin = std::chrono::steady_clock::now();
   EXPECT_EQ(relay.ask(request_text("usual")), 202u);
   return std::chrono::steady_clock::now() - begin;
 }
 
-// Guards usual clients against a flood of those who send half a request and stop: these held all places for
-// as long as a request may take, and each of the others waited unread until its client had left.
-TEST(Relay, HalfRequestsMakeWayForWholeOnes) {
+// In a flood of connections that send half a request and stop, these occupied all slots for as long as a
+// request may take, and ordinary clients gave up before they were read.
+TEST(Relay, ClosesHalfRequestsInFavourOfWholeOnes) {
   ConfigParts small;
   small.sockets = 64;
   Server host([](const Request&) { return answer("200 OK"); });
@@ -420,21 +421,21 @@
   EXPECT_LT(answer_time_behind(relay, 300, "POST /note HTTP/1.1\r\nX-Call"), seconds(15));
 }
 
-// Guards usual clients against a flood of those who ask once and stay: while places are that short, none
-// keeps one for 2 s that it does not use.
-TEST(Relay, ThoseWhoAskOnceAndStayMakeWay) {
+// In a flood of connections that are used once and stay open, an idle one must not keep its slot for 2 s
+// while slots are short.
+TEST(Relay, ClosesIdleConnectionsWhileSlotsAreShort) {
   ConfigParts small;
   small.sockets = 64;
   Server host([](const Request&) { return answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
   RelayProgram relay(platform.address(), small);
   relay.start();
-  // All at once, 15 times as many as there are places for: half a minute where each keeps its place for 2 s.
+  // 15 times as many connections as slots: this would take half a minute if each kept its slot for 2 s.
   EXPECT_LT(answer_time_behind(relay, 300, request_text("stays")), seconds(15));
 }
 
-// Guards against holding and sending what its client has given up while it waited to be read.
-TEST_F(RelayToOneHost, DoesNotTakeOnWhatItsClientHasLeft) {
+// A message whose client disconnected before it was read must not be accepted and sent.
+TEST_F(RelayToOneHost, RefusesAMessageWhoseClientHasDisconnected) {
   relay.signal(SIGSTOP);
   {
     asio::io_context io;
@@ -448,8 +449,8 @@
   EXPECT_EQ(host.count("left"), 0u);
 }
 
-// Guards against an error that its client cannot read: what still comes is read and dropped meanwhile.
-TEST_F(RelayToOneHost, AnswersAHugeBodyBeforeItHasCome) {
+// An error answer must reach a client that is still sending: the rest of the request is read and dropped.
+TEST_F(RelayToOneHost, AnswersAHugeBodyBeforeItHasArrived) {
   EXPECT_EQ(relay.ask(request_text("big", std::string(8 << 20, 'x'))), 413u);
   EXPECT_EQ(
       relay.ask("POST /note HTTP/1.1\r\nContent-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
@@ -460,9 +461,9 @@
   EXPECT_EQ(host.count("hidden"), 0u);
 }
 
-// Guards a healthy host against being rested for connections that break under the next request, as those that
-// it has dropped unseen do: the call goes out on a new one.
-TEST(Relay, TakesAKeptConnectionThatBreaksForNoOutage) {
+// A host that closed an idle connection unnoticed resets the next request on it. That must not put a healthy
+// host into backoff: the call is sent on a new connection.
+TEST(Relay, DoesNotTreatABrokenIdleConnectionAsAnOutage) {
   Server host([&](const Request& r) { return r.nth > 1 ? kReset : answer("200 OK"); });
   Platform platform({{"s-1", host.address()}});
   RelayProgram relay(platform.address());
@@ -476,9 +477,9 @@
   EXPECT_EQ(relay.logged("failing"), 0u) << relay.log();
 }
 
-// Guards discovery against a whole list for each of many relays that start at once: the watch alone brings
-// what has changed since. Where it is refused the list that is known serves, and tries grow apart.
-TEST(Relay, TakesUpTheWatchWhereTheKnownListStands) {
+// Many relays that start at once must not each fetch the full list from discovery: with a known list the
+// watch alone delivers the changes. If it is refused, the known list is used and attempts back off.
+TEST(Relay, StartsTheWatchFromTheKnownList) {
   Server host([](const Request&) { return answer("200 OK"); });
   Server discovery(
       [](const Request&) { return answer("503 Service Unavailable", "", "Connection: close\r\n"); });
@@ -489,15 +490,15 @@
   EXPECT_EQ(relay.ask(request_text("m1")), 202u);
   EXPECT_TRUE(happens([&] { return host.count("m1") == 1; })) << relay.log();
   std::this_thread::sleep_for(seconds(3));
-  const std::vector<Request> asked = discovery.requests();
-  ASSERT_FALSE(asked.empty());
-  for (const Request& r : asked) EXPECT_NE(r.target.find("watch=1"), std::string::npos) << r.target;
-  EXPECT_LE(asked.size(), 5u) << "pauses of at least 0.25, 0.5, 1 and 2 s";
+  const std::vector<Request> requests = discovery.requests();
+  ASSERT_FALSE(requests.empty());
+  for (const Request& r : requests) EXPECT_NE(r.target.find("watch=1"), std::string::npos) << r.target;
+  EXPECT_LE(requests.size(), 5u) << "pauses of at least 0.25, 0.5, 1 and 2 s";
 }
 
-// A host that has no place for a connection refuses and closes it at once: that is no refusal of the call,
-// which goes out again soon, and the connection that then comes up is not kept idle.
-TEST(Relay, GivesItsPlaceBackWhereTheHostHadNone) {
+// A host at its connection limit refuses and closes a new connection at once. That does not count as a
+// refusal of the call, which is soon sent again, and the connection that then succeeds is not kept idle.
+TEST(Relay, KeepsNoIdleConnectionToAHostAtItsLimit) {
   std::atomic<int> asked = 0;
   Server host([&](const Request&) {
     return ++asked <= 2 ? answer("503 Service Unavailable", "", "Connection: close\r\n") : answer("200 OK");
