--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -21,7 +21,7 @@
 
 using starlinghook::Condition;
 
-Json::Value parse_json(std::string_view text, const char* what) {
+Json::Value parse_json(std::string_view text, const char* subject) {
   Json::CharReaderBuilder builder;
   builder["collectComments"] = false;
   builder["stackLimit"] = 64;
@@ -33,28 +33,28 @@
       return value;
   } catch (const Json::Exception&) {  // nested too deeply
   }
-  throw ConfigError(std::string(what) + " is not a JSON object");
+  throw ConfigError(std::string(subject) + " is not a JSON object");
 }
 
 const Json::Value& required_member(const Json::Value& in, const char* name, Json::ValueType type) {
   const Json::Value& value = in[name];
-  const bool fits = type == Json::realValue ? value.isNumeric() : value.type() == type;
-  if (!fits) throw ConfigError(std::string(name) + " is missing or of a wrong type");
+  const bool type_matches = type == Json::realValue ? value.isNumeric() : value.type() == type;
+  if (!type_matches) throw ConfigError(std::string(name) + " is missing or of a wrong type");
   return value;
 }
 std::string string_member(const Json::Value& in, const char* name) {
   return required_member(in, name, Json::stringValue).asString();
 }
-double number_member(const Json::Value& in, const char* name, double absent, double most) {
-  if (!in.isMember(name)) return absent;
+double number_member(const Json::Value& in, const char* name, double fallback, double max_value) {
+  if (!in.isMember(name)) return fallback;
   const double value = required_member(in, name, Json::realValue).asDouble();
-  if (!std::isfinite(value) || value < 0 || value > most) {
+  if (!std::isfinite(value) || value < 0 || value > max_value) {
     throw ConfigError(std::string(name) + " is out of range");
   }
   return value;
 }
 
-// As the simulator writes plain values: spaces and commas in them turn into _.
+// Formats plain values as the simulator does: spaces and commas become _.
 std::string plain_text(const Json::Value& value) {
   if (value.isBool()) return value.asBool() ? "true" : "false";
   if (value.isUInt64()) return std::to_string(value.asUInt64());
@@ -71,22 +71,22 @@
   return text;
 }
 
-// Nested settings as paths and values, in the form of the simulator's first message.
+// Flattens nested settings into paths and values, as in the simulator's first message.
 void flatten(const Json::Value& value, const std::string& path, wire::SettingsMap& out) {
   if (value.isObject()) {
     for (const std::string& name : value.getMemberNames()) {
       flatten(value[name], path.empty() ? name : path + "." + name, out);
     }
   } else if (value.isArray()) {
-    const bool objects = !value.empty() && (value[0].isObject() || value[0].isArray());
+    const bool is_structured = !value.empty() && (value[0].isObject() || value[0].isArray());
     std::string joined;
     for (Json::ArrayIndex i = 0; i < value.size(); ++i) {
-      if (objects) flatten(value[i], path + "." + std::to_string(i), out);
-      if (!objects && i > 0) joined += ',';
-      if (!objects) joined += plain_text(value[i]);
+      if (is_structured) flatten(value[i], path + "." + std::to_string(i), out);
+      if (!is_structured && i > 0) joined += ',';
+      if (!is_structured) joined += plain_text(value[i]);
     }
-    if (objects || value.empty()) out[path + ".count"] = std::to_string(value.size());
-    if (!objects) out[path] = joined;
+    if (is_structured || value.empty()) out[path + ".count"] = std::to_string(value.size());
+    if (!is_structured) out[path] = joined;
   } else {
     out[path] = plain_text(value);
   }
@@ -96,11 +96,11 @@
   HostList list;
   list.version = static_cast<std::uint64_t>(number_member(in, "version", 0, 1e15));
   list.full = required_member(in, "full", Json::booleanValue).asBool();
-  for (const Json::Value& line : required_member(in, "servers", Json::arrayValue)) {
-    if (!line.isObject()) throw ConfigError("a line of servers is no object");
+  for (const Json::Value& server : required_member(in, "servers", Json::arrayValue)) {
+    if (!server.isObject()) throw ConfigError("a line of servers is no object");
     HostEntry host;
-    host.id = string_member(line, "id");
-    const std::string state = string_member(line, "state");
+    host.id = string_member(server, "id");
+    const std::string state = string_member(server, "state");
     if (state == "ready") {
       host.condition = Condition::ready;
     } else if (state == "draining") {
@@ -110,11 +110,11 @@
     } else {
       throw ConfigError("a host's state is unknown: " + state);
     }
-    host.address = parse_address(string_member(line, "addr"));
-    host.zone = position_of(boot.zones, plain_text(line["zone"]));
-    host.kind = position_of(boot.kinds, plain_text(line["kind"]));
-    host.destination = static_cast<std::uint32_t>(number_member(line, "cell", 0, 65535));
-    host.rate = boot.rates_listed ? number_member(line, "weight", 0, 1e9) : 0;
+    host.address = parse_address(string_member(server, "addr"));
+    host.zone = position_of(boot.zones, plain_text(server["zone"]));
+    host.kind = position_of(boot.kinds, plain_text(server["kind"]));
+    host.destination = static_cast<std::uint32_t>(number_member(server, "cell", 0, 65535));
+    host.rate = boot.rates_listed ? number_member(server, "weight", 0, 1e9) : 0;
     list.hosts.push_back(std::move(host));
   }
   return list;
@@ -127,7 +127,7 @@
   return inet_pton(AF_INET, host.c_str(), bytes) == 1 || inet_pton(AF_INET6, host.c_str(), bytes) == 1;
 }
 
-// Guards against an address that is found to be of no use only when it is connected to: there is no DNS.
+// Host names are not resolved, so they are rejected here and not only when the relay connects.
 Address parse_numeric_address(const std::string& text) {
   Address address = parse_address(text);
   if (!is_numeric_host(address.host)) throw ConfigError("no numeric address: " + text);
@@ -156,17 +156,17 @@
   out["full"] = list.full;
   out["servers"] = Json::Value(Json::arrayValue);
   for (const HostEntry& host : list.hosts) {
-    Json::Value line;
-    line["id"] = host.id;
-    line["addr"] = host.address.text();
-    line["zone"] = name_at(boot.zones, host.zone);
-    line["kind"] = name_at(boot.kinds, host.kind);
-    line["cell"] = host.destination;
-    line["state"] = host.condition == Condition::ready      ? "ready"
-                    : host.condition == Condition::draining ? "draining"
-                                                            : "gone";
-    line["weight"] = host.rate;
-    out["servers"].append(line);
+    Json::Value server;
+    server["id"] = host.id;
+    server["addr"] = host.address.text();
+    server["zone"] = name_at(boot.zones, host.zone);
+    server["kind"] = name_at(boot.kinds, host.kind);
+    server["cell"] = host.destination;
+    server["state"] = host.condition == Condition::ready      ? "ready"
+                      : host.condition == Condition::draining ? "draining"
+                                                              : "gone";
+    server["weight"] = host.rate;
+    out["servers"].append(server);
   }
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
@@ -177,9 +177,9 @@
   try {
     const Json::Value in = parse_json(json, "the configuration");
     static const Json::Value schema = parse_json(kConfigSchema, "the schema");
-    if (const auto fault = find_schema_error(in, schema)) {
-      throw ConfigError("the configuration: " + fault->path + (fault->path.empty() ? "" : ": ") +
-                        fault->message);
+    if (const auto error = find_schema_error(in, schema)) {
+      throw ConfigError("the configuration: " + error->path + (error->path.empty() ? "" : ": ") +
+                        error->message);
     }
     Config config;
     config.name = string_member(in, "name");
@@ -207,8 +207,8 @@
     config.raw_settings = values;
     config.boot = wire::read_settings(std::move(values), salt);
     starlinghook::Settings& s = config.boot.settings;
-    s.can_probe = false;        // PROTOCOL has no probes
-    s.list_on_request = false;  // discovery's watch is the relay's own
+    s.can_probe = false;        // the relay's protocol has no probes
+    s.list_on_request = false;  // the relay watches discovery by itself
     if (in.isMember("known"))
       config.known_hosts = read_hosts(required_member(in, "known", Json::objectValue), config.boot);
     config.seed = salt;
@@ -223,8 +223,8 @@
 
 std::vector<std::string> changed_fixed_parts(const Config& running, const Config& wanted) {
   std::vector<std::string> parts;
-  const auto compare = [&parts](bool same, const char* part) {
-    if (!same) parts.emplace_back(part);
+  const auto compare = [&parts](bool unchanged, const char* part) {
+    if (!unchanged) parts.emplace_back(part);
   };
   compare(running.name == wanted.name, "name");
   compare(running.listen.text() == wanted.listen.text(), "listen");
@@ -247,10 +247,10 @@
 }
 
 Config read_config(const std::string& path, const std::string& settings_path) {
-  const auto read = [](const std::string& from) {
-    std::ifstream file(from, std::ios::binary);
+  const auto read = [](const std::string& file_path) {
+    std::ifstream file(file_path, std::ios::binary);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw ConfigError("cannot read " + from);
+    if (!file || !(text << file.rdbuf())) throw ConfigError("cannot read " + file_path);
     return text.str();
   };
   if (path.empty() && settings_path.empty())
--- a/src/settings/config.hpp
+++ b/src/settings/config.hpp
@@ -1,4 +1,4 @@
-// The relay's configuration: one JSON file, read once, and the values of it that the program uses.
+// The relay's configuration, read from the platform's JSON file, the operators' settings file, or both.
 #pragma once
 
 #include <optional>
@@ -18,7 +18,7 @@
 
 namespace fennellane {
 
-// What is wrong with the configuration, in one line.
+// Says in one line what is wrong with the configuration.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -29,20 +29,20 @@
 struct Config {
   std::string name;
   Address listen;
-  bool has_platform = true;  // false: there is none, and the settings file stands alone
+  bool has_platform = true;  // false: there is only the settings file
   Address discovery;         // the platform's
   MembershipSource source = MembershipSource::platform;
   std::optional<ConsulSettings> consul;
   LogSettings log;
   std::optional<UpgradeSettings> upgrade;  // none: upgrades are off
-  std::optional<FleetSettings> fleet;      // none: no role of the fleet is sought; with it, `consul` is there
+  std::optional<FleetSettings> fleet;      // none: no work of the fleet; otherwise `consul` is set
   std::optional<RecordSettings> record;    // none: no flight record
-  bool stores_list = false;  // a settings file is there, so a list may have to be kept on the disk
+  bool stores_list = false;                // there is a settings file, so a host list may be stored on disk
   std::uint64_t seed = 0;
   ResourceLimits allowance;
-  wire::InstanceSettings boot;     // the module's settings, and names by position
-  wire::SettingsMap raw_settings;  // the same as they stand in the file
-  HostList known_hosts;            // as an earlier life had it or, by the source `list`, the whole cluster
+  wire::InstanceSettings boot;     // the reducer's settings, and names by index
+  wire::SettingsMap raw_settings;  // the same as given in the file
+  HostList known_hosts;  // as stored by a previous process or, for the source `list`, the whole cluster
   Limits limits;
 };
 
@@ -51,13 +51,13 @@
 Address parse_address(std::string_view text);                                     // throws ConfigError
 Config parse_config(const std::string& json);                                     // throws ConfigError
 HostList parse_hosts(std::string_view json, const wire::InstanceSettings& boot);  // throws ConfigError
-// The same list in the platform's form, for `parse_hosts` to read.
+// Writes the list in the platform's format, which `parse_hosts` reads.
 std::string hosts_json(const HostList& list, const wire::InstanceSettings& boot);
-// The names of the parts in which two configurations differ and that only a restart can change.
+// The names of the parts that differ between two configurations and that only a restart can change.
 std::vector<std::string> changed_fixed_parts(const Config& running, const Config& wanted);
-// The platform's file, the operators' file, or both; one path may be empty. Throws ConfigError.
+// Reads the platform's file, the operators' file, or both; one path may be empty. Throws ConfigError.
 Config read_config(const std::string& path, const std::string& settings_path = {});
-// Fills the limits from what the configuration says; the last step of reading one.
+// Derives the limits from the rest of the configuration; the last step of reading one.
 void fill_limits(Config& config);
 
 }  // namespace fennellane
--- a/src/settings/consul_settings.hpp
+++ b/src/settings/consul_settings.hpp
@@ -1,4 +1,4 @@
-// What the operators' settings say of Consul.
+// The section of the operators' settings on Consul.
 #pragma once
 
 #include <optional>
@@ -15,8 +15,8 @@
 
 struct ConsulService {
   std::string name;
-  std::string tag;  // only instances with it; empty = all
-  // Where an instance's Meta says nothing.
+  std::string tag;  // only instances with this tag; empty: all
+  // Defaults for what an instance's Meta leaves out.
   std::optional<std::uint32_t> destination;
   std::string zone, kind;
   double rate = 0;
@@ -30,11 +30,11 @@
 
 struct ConsulRegistration {
   std::string service;
-  std::string address;  // numeric; that others reach this relay at
+  std::string address;  // numeric; where others reach this relay
   std::uint16_t port = 0;
   Time ttl = std::chrono::seconds(10);
   Time deregister_after = std::chrono::minutes(10);
-  std::string relay, zone;  // its Meta, for the disruption budget; empty: not told
+  std::string relay, zone;  // Meta of the service, for the disruption budget; empty: left out
   bool operator==(const ConsulRegistration&) const = default;
 };
 
--- a/src/settings/log_settings.hpp
+++ b/src/settings/log_settings.hpp
@@ -1,4 +1,4 @@
-// How the log is written.
+// The log section of the operators' settings.
 #pragma once
 
 #include <cstddef>
--- a/src/settings/record_settings.hpp
+++ b/src/settings/record_settings.hpp
@@ -1,4 +1,4 @@
-// The flight record, as the operators set it up; without a section of its own there is none.
+// The settings of the flight record; without a section `record` there is none.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 namespace fennellane {
 
 struct RecordSettings {
-  std::uint64_t file_bytes = 4 << 20;  // of the file, header included
-  std::string folder;                  // empty: the state folder, and then the file counts for its disk
+  std::uint64_t file_bytes = 4 << 20;  // including the header
+  std::string folder;                  // empty: the state folder; the file then counts towards its disk limit
   bool operator==(const RecordSettings&) const = default;
 };
 
--- a/src/settings/schema_check.cpp
+++ b/src/settings/schema_check.cpp
@@ -10,20 +10,21 @@
 namespace fennellane {
 namespace {
 
-// What the schema wants at a path, in its own words: the library says only that it is not so.
+// The schema's rules at a path, since the library's message does not include them.
 std::string expected_at(const Json::Value& schema, const std::vector<std::string>& names) {
-  const Json::Value* at = &schema;
+  const Json::Value* node = &schema;
   for (const std::string& name : names) {
-    const Json::Value& next = at->isMember("items") ? (*at)["items"] : (*at)["properties"][name];
+    const Json::Value& next = node->isMember("items") ? (*node)["items"] : (*node)["properties"][name];
     if (!next.isObject()) return "";
-    at = &next;
+    node = &next;
   }
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   std::string text;
   for (const char* rule : {"enum", "pattern", "minimum", "maximum", "minLength", "maxLength", "required"}) {
-    if (at->isMember(rule)) {
-      text += (text.empty() ? "" : ", ") + std::string(rule) + " " + Json::writeString(builder, (*at)[rule]);
+    if (node->isMember(rule)) {
+      text +=
+          (text.empty() ? "" : ", ") + std::string(rule) + " " + Json::writeString(builder, (*node)[rule]);
     }
   }
   return text.empty() ? "" : " (expected: " + text + ")";
@@ -37,23 +38,23 @@
   valijson::Validator validator;
   valijson::ValidationResults results;
   if (validator.validate(parsed, valijson::adapters::JsonCppAdapter(value), &results)) return std::nullopt;
-  // The library tells the fault from the outside in; the longest path says where it lies.
+  // The library also reports the enclosing values of an error; the longest path is the error's own.
   valijson::ValidationResults::Error error, deepest;
   while (results.popError(error)) {
     if (error.context.size() >= deepest.context.size()) deepest = error;
   }
-  SchemaError fault;
+  SchemaError result;
   std::vector<std::string> names;
-  for (const std::string& piece : deepest.context) {  // <root>, [consul], [service], [0]
-    if (piece.size() < 2 || piece.front() != '[') continue;
-    const std::string name = piece.substr(1, piece.size() - 2);
+  for (const std::string& element : deepest.context) {  // <root>, [consul], [service], [0]
+    if (element.size() < 2 || element.front() != '[') continue;
+    const std::string name = element.substr(1, element.size() - 2);
     names.push_back(name);
-    const bool place = std::all_of(name.begin(), name.end(), [](char c) { return c >= '0' && c <= '9'; });
-    fault.path += place ? piece : (fault.path.empty() ? "" : ".") + name;
+    const bool is_index = std::all_of(name.begin(), name.end(), [](char c) { return c >= '0' && c <= '9'; });
+    result.path += is_index ? element : (result.path.empty() ? "" : ".") + name;
   }
-  fault.message = deepest.description + expected_at(schema, names);
-  std::replace(fault.message.begin(), fault.message.end(), '\n', ' ');
-  return fault;
+  result.message = deepest.description + expected_at(schema, names);
+  std::replace(result.message.begin(), result.message.end(), '\n', ' ');
+  return result;
 }
 
 }  // namespace fennellane
--- a/src/settings/schema_check.hpp
+++ b/src/settings/schema_check.hpp
@@ -1,4 +1,4 @@
-// A JSON value held against a JSON Schema (valijson).
+// Validation of a JSON value against a JSON Schema (valijson).
 #pragma once
 
 #include <json/json.h>
@@ -8,8 +8,7 @@
 
 namespace fennellane {
 
-// Where the first fault lies ("consul.service[0].name"; empty = the whole) and what is wrong there, in one
-// line.
+// The path of the first error ("consul.service[0].name"; empty: the whole value) and a message in one line.
 struct SchemaError {
   std::string path, message;
 };
--- a/src/settings/schemas.hpp
+++ b/src/settings/schemas.hpp
@@ -1,4 +1,4 @@
-// The texts of deploy/*.schema.json, built in so that the program needs no file beside it.
+// The texts of deploy/*.schema.json, built in so that the program needs no extra files.
 #pragma once
 
 namespace fennellane {
--- a/src/settings/settings_file.cpp
+++ b/src/settings/settings_file.cpp
@@ -14,7 +14,7 @@
 namespace fennellane {
 namespace {
 
-// What only the platform says where there is one.
+// Members that come from the platform's configuration if there is one.
 constexpr const char* kPlatformMembers[] = {"name",  "listen", "limits", "zones",
                                             "kinds", "class",  "tenant", "delivery"};
 
@@ -26,21 +26,21 @@
     } catch (const SexpError& e) {
       throw ConfigError(path + ":" + e.what());
     }
-    if (const auto fault = find_schema_error(document_.value, settings_schema()))
-      fail(fault->path, fault->message);
+    if (const auto error = find_schema_error(document_.value, settings_schema()))
+      fail(error->path, error->message);
   }
-  [[noreturn]] void fail(const std::string& at, const std::string& what) const {
-    throw ConfigError(path_ + ":" + std::to_string(document_.line_of(at)) + ": " +
-                      (at.empty() ? "" : at + ": ") + what);
+  [[noreturn]] void fail(const std::string& member, const std::string& message) const {
+    throw ConfigError(path_ + ":" + std::to_string(document_.line_of(member)) + ": " +
+                      (member.empty() ? "" : member + ": ") + message);
   }
   const Json::Value& value() const { return document_.value; }
-  Address address(const Json::Value& in, const std::string& at) const {
+  Address address(const Json::Value& in, const std::string& member) const {
     try {
       const Address address = parse_numeric_address(in.asString());
       if (address.port > 0) return address;
     } catch (const ConfigError&) {
     }
-    fail(at, "expected a numeric address with a port, not " + in.asString());
+    fail(member, "expected a numeric address with a port, not " + in.asString());
   }
 
  private:
@@ -48,17 +48,17 @@
   SexpDocument document_;
 };
 
-std::string string_member(const Json::Value& in, const char* name, const std::string& absent = "") {
-  return in.isMember(name) ? in[name].asString() : absent;
+std::string string_member(const Json::Value& in, const char* name, const std::string& fallback = "") {
+  return in.isMember(name) ? in[name].asString() : fallback;
 }
-double number_member(const Json::Value& in, const char* name, double absent) {
-  return in.isMember(name) ? in[name].asDouble() : absent;
+double number_member(const Json::Value& in, const char* name, double fallback) {
+  return in.isMember(name) ? in[name].asDouble() : fallback;
 }
-std::uint64_t count_member(const Json::Value& in, const char* name, std::uint64_t absent) {
-  return in.isMember(name) ? in[name].asUInt64() : absent;
+std::uint64_t count_member(const Json::Value& in, const char* name, std::uint64_t fallback) {
+  return in.isMember(name) ? in[name].asUInt64() : fallback;
 }
-Time ms_member(const Json::Value& in, const char* name, Time absent) {
-  return in.isMember(name) ? Time(std::chrono::milliseconds(in[name].asInt64())) : absent;
+Time ms_member(const Json::Value& in, const char* name, Time fallback) {
+  return in.isMember(name) ? Time(std::chrono::milliseconds(in[name].asInt64())) : fallback;
 }
 std::string comma_joined(const Json::Value& names) {
   std::string text;
@@ -66,15 +66,15 @@
   return text;
 }
 
-// The settings that the platform would give, in its own names and units, from the operators' ones.
+// Converts the operators' settings to those that the platform would give, in its names and units.
 wire::SettingsMap module_settings(const SettingsFile& file) {
   const Json::Value& in = file.value();
   const Json::Value& delivery = in["delivery"];
-  const auto us = [&delivery](const char* name, std::uint64_t absent_ms) {
-    return std::to_string(count_member(delivery, name, absent_ms) * 1000);
+  const auto microseconds = [&delivery](const char* name, std::uint64_t fallback_ms) {
+    return std::to_string(count_member(delivery, name, fallback_ms) * 1000);
   };
-  const auto count = [&delivery](const char* name, std::uint64_t absent) {
-    return std::to_string(count_member(delivery, name, absent));
+  const auto count = [&delivery](const char* name, std::uint64_t fallback) {
+    return std::to_string(count_member(delivery, name, fallback));
   };
   wire::SettingsMap out;
   out["n_instances"] = count("relays", 1);
@@ -85,40 +85,40 @@
   out["request_classes.count"] = std::to_string(in["class"].size());
   for (Json::ArrayIndex i = 0; i < in["class"].size(); ++i) {
     const Json::Value& c = in["class"][i];
-    const std::string at = "request_classes." + std::to_string(i) + ".";
+    const std::string prefix = "request_classes." + std::to_string(i) + ".";
     if (c["aim-ms"].asInt64() > c["give-up-ms"].asInt64()) {
       file.fail("class[" + std::to_string(i) + "].aim-ms", "is later than give-up-ms");
     }
-    out[at + "name"] = c["name"].asString();
-    out[at + "effect"] = c["effect"].asString();
-    out[at + "aim_us"] = std::to_string(c["aim-ms"].asInt64() * 1000);
-    out[at + "give_up_us"] = std::to_string(c["give-up-ms"].asInt64() * 1000);
-    out[at + "worth"] = std::to_string(number_member(c, "worth", 1));
-    out[at + "late_worth"] = std::to_string(number_member(c, "late-worth", 0));
+    out[prefix + "name"] = c["name"].asString();
+    out[prefix + "effect"] = c["effect"].asString();
+    out[prefix + "aim_us"] = std::to_string(c["aim-ms"].asInt64() * 1000);
+    out[prefix + "give_up_us"] = std::to_string(c["give-up-ms"].asInt64() * 1000);
+    out[prefix + "worth"] = std::to_string(number_member(c, "worth", 1));
+    out[prefix + "late_worth"] = std::to_string(number_member(c, "late-worth", 0));
   }
   out["orgs.count"] = std::to_string(in["tenant"].size());
   for (Json::ArrayIndex i = 0; i < in["tenant"].size(); ++i) {
-    const std::string at = "orgs." + std::to_string(i) + ".";
-    out[at + "name"] = in["tenant"][i]["name"].asString();
-    out[at + "quota_per_s"] = std::to_string(number_member(in["tenant"][i], "rate", 0));
+    const std::string prefix = "orgs." + std::to_string(i) + ".";
+    out[prefix + "name"] = in["tenant"][i]["name"].asString();
+    out[prefix + "quota_per_s"] = std::to_string(number_member(in["tenant"][i], "rate", 0));
   }
   out["domain.max_calls"] = count("slots", 16);
   out["domain.late"] = "by_half";
   out["limits.max_open"] = count("held", 500);
   out["limits.max_attempts"] = count("attempts", 12);
-  out["limits.connect_timeout_us"] = us("connect-ms", 1000);
-  out["limits.conn_idle_us"] = us("idle-ms", 15000);
-  out["limits.max_retry_after_us"] = us("return-ms", 2000);
+  out["limits.connect_timeout_us"] = microseconds("connect-ms", 1000);
+  out["limits.conn_idle_us"] = microseconds("idle-ms", 15000);
+  out["limits.max_retry_after_us"] = microseconds("return-ms", 2000);
   out["limits.cancel"] = "true";
   out["limits.retry_after"] = "true";
   out["feedback.names"] = "x0,x1";
   out["resolution_us"] = "5000";
   out["guarantees.answer_slack_us"] = "20000";
   out["guarantees.stop_sending_within_us"] = "1000000";
-  out["guarantees.cold_us"] = us("cold-ms", 10000);
+  out["guarantees.cold_us"] = microseconds("cold-ms", 10000);
   out["guarantees.cold_from"] = std::to_string(number_member(delivery, "cold-from", 0.16));
   out["guarantees.overload_factor"] = std::to_string(number_member(delivery, "overload-factor", 2));
-  out["guarantees.fall_us"] = us("overload-ms", 2000);
+  out["guarantees.fall_us"] = microseconds("overload-ms", 2000);
   return out;
 }
 
@@ -134,11 +134,11 @@
   std::set<std::string> ids;
   const Json::Value& in = file.value()["host"];
   for (Json::ArrayIndex i = 0; i < in.size(); ++i) {
-    const std::string at = "host[" + std::to_string(i) + "]";
+    const std::string member = "host[" + std::to_string(i) + "]";
     HostEntry host;
     host.id = in[i]["id"].asString();
-    if (!ids.insert(host.id).second) file.fail(at + ".id", "another host has this id: " + host.id);
-    host.address = file.address(in[i]["address"], at + ".address");
+    if (!ids.insert(host.id).second) file.fail(member + ".id", "another host has this id: " + host.id);
+    host.address = file.address(in[i]["address"], member + ".address");
     host.destination = in[i]["destination"].asUInt();
     host.zone = position_of(boot.zones, string_member(in[i], "zone"));
     host.kind = position_of(boot.kinds, string_member(in[i], "kind"));
@@ -148,14 +148,15 @@
   return list;
 }
 
-// The first line of the file. Guards the log and the wire against a token with other bytes.
+// Reads the first line of the file. Accepts only printable ASCII, so that no other bytes get into a header or
+// the log.
 std::string read_token(const SettingsFile& file, const std::string& path) {
   std::ifstream in(path);
   std::string token;
   if (!in || !std::getline(in, token)) file.fail("consul.token-file", "cannot be read: " + path);
   while (!token.empty() && (token.back() == '\r' || token.back() == ' ')) token.pop_back();
-  const bool plain = std::all_of(token.begin(), token.end(), [](char c) { return c > ' ' && c < 127; });
-  if (token.empty() || token.size() > 512 || !plain)
+  const bool printable = std::all_of(token.begin(), token.end(), [](char c) { return c > ' ' && c < 127; });
+  if (token.empty() || token.size() > 512 || !printable)
     file.fail("consul.token-file", "holds no token: " + path);
   return token;
 }
@@ -219,7 +220,7 @@
   return c;
 }
 
-DrainSettings read_drain(const SettingsFile& file, const Config& config, Time least_ttl) {
+DrainSettings read_drain(const SettingsFile& file, const Config& config, Time min_ttl) {
   const Json::Value& in = file.value()["fleet"]["drain"];
   DrainSettings d;
   drain::SlotSettings& s = d.slot;
@@ -242,9 +243,9 @@
   s.max_outage = ms_member(in, "out-ms", s.max_outage);
   s.call = ms_member(in, "call-ms", s.call);
   s.retry = ms_member(in, "retry-ms", s.retry);
-  const std::string wrong = slot_problem(s, least_ttl);
-  if (!wrong.empty()) file.fail("fleet.drain", "its times cannot be kept: " + wrong);
-  // Guards the budget: a relay that has not come back counts as down before its slot is another's.
+  const std::string problem = slot_problem(s, min_ttl);
+  if (!problem.empty()) file.fail("fleet.drain", "its times cannot be kept: " + problem);
+  // A relay that does not come back must count as down before another relay can acquire its slot.
   if (s.census && config.consul->registration &&
       config.consul->registration->ttl >= s.ttl - s.margin - s.max_outage)
     file.fail("fleet.drain", "its times cannot be kept: the registration's ttl: under ttl - margin - out");
@@ -288,7 +289,7 @@
   r.max_endpoints = config.limits.max_degraded_endpoints;
   r.every = e.arbiter.every = ms_member(in, "every-ms", r.every);
   r.stale = e.arbiter.stale = ms_member(in, "stale-ms", r.stale);
-  // Guards against a report, or a verdict, that is old before the next one can be there.
+  // A report or verdict must not become stale before the next one can arrive.
   if (ejection::renew_every(r.stale) < r.every)
     file.fail("fleet.ejection.stale-ms", "is under three times every-ms");
   return e;
@@ -313,9 +314,9 @@
   t.retry = ms_member(in, "retry-ms", t.retry);
   t.spread = ms_member(in, "spread-ms", t.spread);
   f.blocking_wait = ms_member(in, "wait-ms", f.blocking_wait);
-  const Time least_ttl = ms_member(in, "consul-least-ttl-ms", lease::kConsulMinTtl);
-  const std::string wrong = timing_problem(t, least_ttl);
-  if (!wrong.empty()) file.fail("fleet", "its times cannot be kept: " + wrong);
+  const Time min_ttl = ms_member(in, "consul-least-ttl-ms", lease::kConsulMinTtl);
+  const std::string problem = timing_problem(t, min_ttl);
+  if (!problem.empty()) file.fail("fleet", "its times cannot be kept: " + problem);
   f.refresh.heartbeat = ms_member(in["refresh"], "beat-ms", f.refresh.heartbeat);
   f.refresh.stale_after = ms_member(in["refresh"], "stale-ms", f.refresh.stale_after);
   f.refresh.discovery_timeout = ms_member(in["refresh"], "patience-ms", f.refresh.discovery_timeout);
@@ -332,11 +333,11 @@
   f.sweep.stale_after = ms_member(sweep, "stale-after-ms", f.sweep.stale_after);
   if (f.sweep.service.empty() && has_role(f, fleet::kSweepRole))
     file.fail("fleet.sweep.service", "is needed where the relay is not registered itself");
-  // Guards the keys that its name becomes a part of.
+  // The relay's name becomes part of keys.
   for (const char* const section : {"drain", "ejection"})
     if (in.isMember(section) && !is_plain_name(config.name))
       file.fail(std::string("fleet.") + section, "the relay's name is no plain one");
-  if (in.isMember("drain")) f.drain = read_drain(file, config, least_ttl);
+  if (in.isMember("drain")) f.drain = read_drain(file, config, min_ttl);
   if (in.isMember("release")) f.release = read_release(file, config, f);
   if (has_role(f, fleet::kDrainRole) && !f.release) file.fail("fleet.roles", "drain needs a section release");
   if (in.isMember("ejection")) f.ejection = read_ejection(file, config);
--- a/src/settings/settings_file.hpp
+++ b/src/settings/settings_file.hpp
@@ -1,4 +1,4 @@
-// The operators' settings file, checked against deploy/settings.schema.json.
+// The operators' settings file, validated against deploy/settings.schema.json.
 #pragma once
 
 #include <json/json.h>
@@ -11,11 +11,11 @@
 
 namespace fennellane {
 
-// The schema that the program was built with.
+// The schema that is built into the program.
 const Json::Value& settings_schema();
 
-// What `text` says, over the platform's configuration or, without one, over the defaults. `path` names the
-// file in messages: "settings.sexp:12: consul.address: ...". Throws ConfigError.
+// Applies the settings in `text` on top of the platform's configuration or, without one, of the defaults.
+// `path` names the file in error messages: "settings.sexp:12: consul.address: ...". Throws ConfigError.
 Config apply_settings(std::string_view text, const std::string& path, std::optional<Config> platform);
 
 }  // namespace fennellane
--- a/src/settings/sexp.cpp
+++ b/src/settings/sexp.cpp
@@ -19,20 +19,20 @@
 };
 using Tree = std::unique_ptr<sexp_t, FreeSexp>;
 
-[[noreturn]] void fail(std::size_t line, const std::string& path, const std::string& what) {
-  throw SexpError(std::to_string(line) + ": " + (path.empty() ? "" : path + ": ") + what);
+[[noreturn]] void fail(std::size_t line, const std::string& path, const std::string& message) {
+  throw SexpError(std::to_string(line) + ": " + (path.empty() ? "" : path + ": ") + message);
 }
 
-// The lines on which lists and atoms begin, in the order of the text. The library keeps no lines; its tree
-// has the same elements in the same order.
+// The line numbers at which lists and atoms begin, in order. The library does not keep line numbers, but its
+// tree has the same elements in the same order.
 std::vector<std::size_t> element_lines(std::string_view text) {
   std::vector<std::size_t> lines;
   std::size_t line = 1;
-  const auto blank = [](char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; };
+  const auto is_space = [](char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; };
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     if (c == '\n') ++line;
-    if (blank(c) || c == ')') continue;
+    if (is_space(c) || c == ')') continue;
     if (c == ';') {
       while (i + 1 < text.size() && text[i + 1] != '\n') ++i;
       continue;
@@ -44,7 +44,7 @@
         if (i < text.size() && text[i] == '\n') ++line;
       }
     } else if (c != '(') {
-      while (i + 1 < text.size() && !blank(text[i + 1]) && text[i + 1] != '(' && text[i + 1] != ')' &&
+      while (i + 1 < text.size() && !is_space(text[i + 1]) && text[i + 1] != '(' && text[i + 1] != ')' &&
              text[i + 1] != ';') {
         ++i;
       }
@@ -57,7 +57,7 @@
  public:
   explicit SexpReader(std::string_view text) : lines_(element_lines(text)) {}
 
-  // `first` and what follows it are members of an object.
+  // Reads `first` and its siblings as the members of an object.
   Json::Value object(const sexp_t* first, const Json::Value& schema, const std::string& path) {
     Json::Value out(Json::objectValue);
     const Json::Value& known = schema["properties"];
@@ -85,26 +85,26 @@
     return text;
   }
 
-  void member(Json::Value& in, const std::string& name, const sexp_t* rest, const Json::Value& schema,
+  void member(Json::Value& in, const std::string& name, const sexp_t* values, const Json::Value& schema,
               std::string path, std::size_t line) {
     const std::string type = schema["type"].asString();
-    const bool objects = type == "array" && schema["items"]["type"] == "object";
-    if (in.isMember(name) && !objects) fail(line, path, "is there twice");
+    const bool object_items = type == "array" && schema["items"]["type"] == "object";
+    if (in.isMember(name) && !object_items) fail(line, path, "is there twice");
     Json::Value& value = in[name];
     lines.emplace(path, line);
-    if (objects) {
+    if (object_items) {
       if (value.isNull()) value = Json::Value(Json::arrayValue);
       path += "[" + std::to_string(value.size()) + "]";
       lines.emplace(path, line);
-      value.append(object(rest, schema["items"], path));
+      value.append(object(values, schema["items"], path));
     } else if (type == "object") {
-      value = object(rest, schema, path);
+      value = object(values, schema, path);
     } else if (type == "array") {
       value = Json::Value(Json::arrayValue);
-      for (; rest != nullptr; rest = rest->next) value.append(atom(rest, schema["items"], path));
+      for (; values != nullptr; values = values->next) value.append(atom(values, schema["items"], path));
     } else {
-      if (rest == nullptr || rest->next != nullptr) fail(line, path, "expected one value");
-      value = atom(rest, schema, path);
+      if (values == nullptr || values->next != nullptr) fail(line, path, "expected one value");
+      value = atom(values, schema, path);
     }
   }
 
@@ -148,20 +148,21 @@
 
 SexpDocument read_sexp(std::string_view text, const Json::Value& schema) {
   if (text.find('\0') != std::string_view::npos) fail(1, "", "is no text");
-  // One list around the whole, so that one tree holds all; on the first line, so that lines stay as they are.
-  std::string whole = "(" + std::string(text) + "\n)";
+  // Encloses the text in one list to get a single tree, without a line break in front to keep line numbers.
+  std::string enclosed = "(" + std::string(text) + "\n)";
   const std::unique_ptr<pcont_t, FreeContinuation> state(init_continuation(nullptr));
   if (!state) throw std::bad_alloc();
-  cparse_sexp(whole.data(), whole.size(), state.get());
+  cparse_sexp(enclosed.data(), enclosed.size(), state.get());
   const Tree tree(state->last_sexp);
-  const std::size_t last = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')) + 1;
-  if (!tree) fail(last, "", "a parenthesis or a quote is not closed");
+  const std::size_t last_line = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')) + 1;
+  if (!tree) fail(last_line, "", "a parenthesis or a quote is not closed");
   state->last_sexp = nullptr;
-  // Guards against a parenthesis too many, which ends the tree early and hides all that follows.
+  // An extra closing parenthesis would end the tree early and hide everything after it.
   if (state->lastPos != nullptr) {
-    for (const char* p = state->lastPos; p < whole.data() + whole.size(); ++p) {
+    for (const char* p = state->lastPos; p < enclosed.data() + enclosed.size(); ++p) {
       if (*p != ' ' && *p != '\n' && *p != '\t' && *p != '\r') {
-        const auto before = std::string_view(whole).substr(0, static_cast<std::size_t>(p - whole.data()));
+        const auto before =
+            std::string_view(enclosed).substr(0, static_cast<std::size_t>(p - enclosed.data()));
         fail(static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n')) + 1, "",
              "a closing parenthesis too many before this line's end");
       }
--- a/src/settings/upgrade_settings.hpp
+++ b/src/settings/upgrade_settings.hpp
@@ -1,4 +1,4 @@
-// Upgrades under load, as the operators set them up; without a section of their own they are off.
+// The settings of hot upgrades; without a section `upgrade` they are off.
 #pragma once
 
 #include <chrono>
@@ -9,11 +9,11 @@
 namespace fennellane {
 
 struct UpgradeSettings {
-  std::string program;                            // empty: the one that runs, by its path
-  Time start_timeout = std::chrono::seconds(10);  // for the new program to look at its configuration
+  std::string program;                            // empty: the path of the running program
+  Time start_timeout = std::chrono::seconds(10);  // until the new program has checked its configuration
   Time state_timeout =
-      std::chrono::milliseconds(400);  // from the freeze until it has all; clients wait for so long
-  Time takeover_timeout = std::chrono::milliseconds(200);  // for its last word
+      std::chrono::milliseconds(400);  // from the freeze until it is ready; clients wait meanwhile
+  Time takeover_timeout = std::chrono::milliseconds(200);  // until it confirms that it has taken over
   bool operator==(const UpgradeSettings&) const = default;
 };
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,5 @@
-// The operators' settings: what ships can be read, and what is wrong is said in one line with its place.
+// The operators' settings: the shipped examples can be read, and errors are reported in one line with their
+// position.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -21,44 +22,44 @@
 const std::string kHost = "(host (id \"a\") (address \"127.0.0.1:1\") (destination 7))\n";
 
 TEST(Settings, TheShippedExamplesCanBeRead) {
-  const Config alone = apply_settings(shipped_file("example.sexp"), "example.sexp", std::nullopt);
-  EXPECT_FALSE(alone.has_platform);
-  EXPECT_EQ(alone.source, MembershipSource::list);
-  EXPECT_EQ(alone.known_hosts.hosts.size(), 3u);
-  EXPECT_TRUE(alone.known_hosts.full);
-  EXPECT_EQ(alone.boot.classes, (std::vector<std::string>{"template-notice", "order-payment"}));
-  EXPECT_EQ(alone.boot.settings.classes[1].effect, starlinghook::Effect::unsafe);
-  EXPECT_EQ(alone.boot.settings.classes[1].deadline, std::chrono::seconds(16));
-  EXPECT_EQ(alone.boot.settings.slots, 16u);
+  const Config standalone = apply_settings(shipped_file("example.sexp"), "example.sexp", std::nullopt);
+  EXPECT_FALSE(standalone.has_platform);
+  EXPECT_EQ(standalone.source, MembershipSource::list);
+  EXPECT_EQ(standalone.known_hosts.hosts.size(), 3u);
+  EXPECT_TRUE(standalone.known_hosts.full);
+  EXPECT_EQ(standalone.boot.classes, (std::vector<std::string>{"template-notice", "order-payment"}));
+  EXPECT_EQ(standalone.boot.settings.classes[1].effect, starlinghook::Effect::unsafe);
+  EXPECT_EQ(standalone.boot.settings.classes[1].deadline, std::chrono::seconds(16));
+  EXPECT_EQ(standalone.boot.settings.slots, 16u);
 
   const Config platform = parse_config(test::config_json());
-  const Config over = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
-  EXPECT_TRUE(over.has_platform);
-  EXPECT_EQ(over.name, "n0");
-  ASSERT_EQ(over.source, MembershipSource::consul);
-  EXPECT_EQ(over.consul->services.size(), 2u);
-  EXPECT_EQ(over.consul->services[1].tag, "live");
-  EXPECT_EQ(over.consul->blocking_wait, std::chrono::seconds(55));
-  // The example says what the defaults are.
+  const Config combined = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
+  EXPECT_TRUE(combined.has_platform);
+  EXPECT_EQ(combined.name, "n0");
+  ASSERT_EQ(combined.source, MembershipSource::consul);
+  EXPECT_EQ(combined.consul->services.size(), 2u);
+  EXPECT_EQ(combined.consul->services[1].tag, "live");
+  EXPECT_EQ(combined.consul->blocking_wait, std::chrono::seconds(55));
+  // The example states the defaults.
   const ConsulSettings defaults;
-  EXPECT_EQ(over.consul->blocking_wait, defaults.blocking_wait);
-  EXPECT_EQ(over.consul->queries_per_second, defaults.queries_per_second);
-  EXPECT_EQ(over.consul->membership.max_loss_share, defaults.membership.max_loss_share);
-  EXPECT_EQ(over.consul->membership.loss_hold, defaults.membership.loss_hold);
-  EXPECT_EQ(over.consul->membership.damping.max_wait, defaults.membership.damping.max_wait);
+  EXPECT_EQ(combined.consul->blocking_wait, defaults.blocking_wait);
+  EXPECT_EQ(combined.consul->queries_per_second, defaults.queries_per_second);
+  EXPECT_EQ(combined.consul->membership.max_loss_share, defaults.membership.max_loss_share);
+  EXPECT_EQ(combined.consul->membership.loss_hold, defaults.membership.loss_hold);
+  EXPECT_EQ(combined.consul->membership.damping.max_wait, defaults.membership.damping.max_wait);
 
   EXPECT_FALSE(platform.fleet);
   const Config fleet = apply_settings(shipped_file("fleet.sexp"), "fleet.sexp", platform);
   ASSERT_TRUE(fleet.fleet);
   EXPECT_EQ(fleet.source, MembershipSource::platform);
-  FleetSettings usual;
-  usual.roles = {"sweep"};
-  usual.sweep.service = "fennellane";
-  EXPECT_EQ(*fleet.fleet, usual);
+  FleetSettings expected;
+  expected.roles = {"sweep"};
+  expected.sweep.service = "fennellane";
+  EXPECT_EQ(*fleet.fleet, expected);
 
   const Config drained = apply_settings(shipped_file("drain.sexp"), "drain.sexp", platform);
   ASSERT_TRUE(drained.fleet && drained.fleet->drain && drained.fleet->release);
-  drain::SlotSettings slot;  // what the file says more than the usual
+  drain::SlotSettings slot;  // what the file sets besides the defaults
   slot.relay = platform.name;
   slot.zone = "a";
   slot.cap = {3, 1, 10};
@@ -77,16 +78,16 @@
   EXPECT_EQ(upgraded.upgrade, UpgradeSettings());
 }
 
-// With a list on the disk, both of its files and both of the journal's keep within the limit.
+// With a stored host list, its two files and the journal's two files together stay within the disk limit.
 TEST(Settings, TheListAndTheJournalShareTheDisk) {
   const Config platform = parse_config(test::config_json());
-  const Config over = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
-  EXPECT_GT(over.limits.max_host_list_file, 0u);
-  EXPECT_LT(2 * over.limits.max_host_list_file + 2 * over.limits.max_journal_file, 3'000'000u);
+  const Config combined = apply_settings(shipped_file("consul.sexp"), "consul.sexp", platform);
+  EXPECT_GT(combined.limits.max_host_list_file, 0u);
+  EXPECT_LT(2 * combined.limits.max_host_list_file + 2 * combined.limits.max_journal_file, 3'000'000u);
   EXPECT_EQ(platform.limits.max_host_list_file, 0u);
 }
 
-TEST(Settings, SaysWhatIsWrongAndWhere) {
+TEST(Settings, ReportsErrorsWithTheirPosition) {
   const struct {
     std::string text, message;
   } cases[] = {
@@ -155,22 +156,22 @@
   for (const auto& c : cases) {
     try {
       apply_settings(c.text, "s", std::nullopt);
-      ADD_FAILURE() << "no fault in " << c.text;
+      ADD_FAILURE() << "no error in " << c.text;
     } catch (const ConfigError& e) {
-      const std::string said = e.what();
-      EXPECT_NE(said.find(c.message), std::string::npos) << said << "\n" << c.text;
-      EXPECT_EQ(said.find('\n'), std::string::npos) << said;
+      const std::string error = e.what();
+      EXPECT_NE(error.find(c.message), std::string::npos) << error << "\n" << c.text;
+      EXPECT_EQ(error.find('\n'), std::string::npos) << error;
     }
   }
   EXPECT_THROW(apply_settings("(name \"x\")", "s", parse_config(test::config_json())), ConfigError);
 }
 
-TEST(Settings, OutlivesGarbage) {
-  const std::string good = shipped_file("example.sexp");
+TEST(Settings, SurvivesGarbage) {
+  const std::string valid = shipped_file("example.sexp");
   for (unsigned seed = 0; seed < 500; ++seed) {
     std::mt19937 random(seed);
     try {
-      apply_settings(test::corrupted_copy(good, random), "s", std::nullopt);
+      apply_settings(test::corrupted_copy(valid, random), "s", std::nullopt);
     } catch (const ConfigError&) {
     }
   }
