--- a/src/consul/agent_client.cpp
+++ b/src/consul/agent_client.cpp
@@ -38,22 +38,22 @@
 }
 
 AgentClient::AgentClient(asio::io_context& io, const ConsulSettings& settings, const Limits& limits,
-                         std::size_t most_body, std::size_t most_text)
-    : settings_(settings), client_(io, settings.agent, limits, most_body, most_text) {}
+                         std::size_t max_body, std::size_t max_text)
+    : settings_(settings), client_(io, settings.agent, limits, max_body, max_text) {}
 
 asio::awaitable<AgentAnswer> AgentClient::request(std::string method, std::string target, std::string body,
                                                   Time limit) {
   const Time end = steady_now() + limit;
-  const auto left = [end] { return std::max(Time(1), end - steady_now()); };
+  const auto remaining = [end] { return std::max(Time(1), end - steady_now()); };
   AgentAnswer answer;
   if (!client_.open()) {
-    const bool connected = co_await client_.connect(left());
+    const bool connected = co_await client_.connect(remaining());
     if (!connected) co_return answer;
   }
-  const bool sent = co_await client_.send(agent_request(settings_, method, target, body), left());
+  const bool sent = co_await client_.send(agent_request(settings_, method, target, body), remaining());
   bool answered = false;
-  if (sent) answered = co_await client_.read_answer(left());
-  // Guards the next call against an answer to this one that comes after all.
+  if (sent) answered = co_await client_.read_answer(remaining());
+  // Without closing, a late answer to this request would be taken for the answer to the next one.
   if (!answered) {
     client_.close();
     co_return answer;
--- a/src/consul/agent_query.hpp
+++ b/src/consul/agent_query.hpp
@@ -1,4 +1,4 @@
-// One question to the Consul agent from a command, which waits for its end.
+// A synchronous query to the Consul agent, for commands.
 #pragma once
 
 #include <asio/co_spawn.hpp>
@@ -12,26 +12,26 @@
   return "Consul has not answered, status " + std::to_string(answer.status);
 }
 
-// Runs one question to its end; `ask` is a coroutine over the call. `most_text`: of a request; 0 = the usual.
-// False where something went wrong, which `trouble` says.
-template <class Ask>
-bool run_agent_query(const ConsulSettings& consul, const Limits& limits, std::size_t most_text,
-                     std::string& trouble, Ask ask) {
+// Runs the coroutine `query` to completion with a client. `max_text`: limit for a request in bytes; 0 = the
+// default. False on failure, with the reason in `error`.
+template <class Query>
+bool run_agent_query(const ConsulSettings& consul, const Limits& limits, std::size_t max_text,
+                     std::string& error, Query query) {
   asio::io_context io(1);
-  AgentClient call(io, consul, limits, limits.max_fleet_answer, most_text);
+  AgentClient client(io, consul, limits, limits.max_fleet_answer, max_text);
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
-        co_await ask(call);
-        call.close();
+        co_await query(client);
+        client.close();
       },
       rethrow);
   try {
     io.run();
   } catch (const Json::Exception& e) {
-    trouble = std::string("an answer of another shape: ") + e.what();
+    error = std::string("an answer has an unexpected format: ") + e.what();
   }
-  return trouble.empty();
+  return error.empty();
 }
 
 }  // namespace fennellane
--- a/src/consul/answer_reader.cpp
+++ b/src/consul/answer_reader.cpp
@@ -37,27 +37,27 @@
       return value;
   } catch (const Json::Exception&) {  // nested too deeply
   }
-  throw AnswerError("a host is no JSON object");
+  throw AnswerError("an entry is not a JSON object");
 }
 
 const Json::Value& required_field(const Json::Value& in, const char* name, Json::ValueType type) {
   const Json::Value& value = in[name];
-  if (value.type() != type) throw AnswerError(std::string(name) + " is missing or of a wrong type");
+  if (value.type() != type) throw AnswerError(std::string(name) + " is missing or has a wrong type");
   return value;
 }
 
 std::string optional_text(const Json::Value& in, const char* name) {
   const Json::Value& value = in[name];
   if (value.isNull()) return "";
-  if (!value.isString()) throw AnswerError(std::string(name) + " is of a wrong type");
+  if (!value.isString()) throw AnswerError(std::string(name) + " has a wrong type");
   return value.asString();
 }
 
-// The worst of the checks; those of maintenance come by their ids.
+// The worst health of all checks; maintenance checks are recognized by their id.
 HostHealth worst_health(const Json::Value& checks) {
   HostHealth worst = HostHealth::passing;
   for (const Json::Value& check : checks) {
-    if (!check.isObject()) throw AnswerError("a check is no object");
+    if (!check.isObject()) throw AnswerError("a check is not an object");
     const std::string status = required_field(check, "Status", Json::stringValue).asString();
     const std::string id = optional_text(check, "CheckID");
     HostHealth health = HostHealth::passing;
@@ -69,7 +69,7 @@
     } else if (status == "maintenance") {
       health = HostHealth::maintenance;
     } else if (status != "passing") {
-      throw AnswerError("a check's status is unknown");
+      throw AnswerError("a check has an unknown status");
     }
     worst = std::max(worst, health);
   }
@@ -94,10 +94,10 @@
   in_string_ = escaped_ = false;
 }
 
-template <class Take>
-void ArraySplitter::feed(std::string_view bytes, Take take) {
-  std::size_t start = 0;  // of the element's part in `bytes`
-  const auto keep = [&](std::size_t end) {
+template <class Callback>
+void ArraySplitter::feed(std::string_view bytes, Callback callback) {
+  std::size_t start = 0;  // of the current element's part in `bytes`
+  const auto append = [&](std::size_t end) {
     if (element_.size() + (end - start) > max_element_) throw AnswerError("a host's entry is too long");
     element_.append(bytes.substr(start, end - start));
   };
@@ -117,9 +117,9 @@
       } else if (c == '{' || c == '[') {
         if (++depth_ > kMaxDepth) throw AnswerError("a host's entry is nested too deeply");
       } else if ((c == '}' || c == ']') && --depth_ == 0) {
-        keep(i + 1);
+        append(i + 1);
         state_ = State::between;
-        take(std::string_view(element_));
+        callback(std::string_view(element_));
         element_.clear();
       }
       continue;
@@ -136,10 +136,10 @@
     } else if (state_ == State::between && c == ',') {
       state_ = State::next;
     } else {
-      throw AnswerError("the answer is no JSON array of objects");
+      throw AnswerError("the answer is not a JSON array of objects");
     }
   }
-  if (state_ == State::element) keep(bytes.size());
+  if (state_ == State::element) append(bytes.size());
 }
 
 AnswerReader::AnswerReader(const ConsulSettings& settings, std::uint32_t service, const NamePositions& names,
@@ -166,10 +166,10 @@
 }
 
 void AnswerReader::add_element(std::string_view element) {
-  if (++host_count_ > limits_.hosts) throw AnswerError("the answer names too many hosts");
+  if (++host_count_ > limits_.hosts) throw AnswerError("the answer lists too many hosts");
   const Hash hash{XXH3_128bits(element.data(), element.size())};
   if (const auto it = known_.find(hash); it != known_.end()) {
-    if (it->second.last_answer == answer_number_) throw AnswerError(it->second.id + " is named twice");
+    if (it->second.last_answer == answer_number_) throw AnswerError(it->second.id + " is listed twice");
     it->second.last_answer = answer_number_;
     if (!it->second.usable) ++unusable_;
     return;
@@ -177,29 +177,29 @@
   staged_.push_back({hash, parse_instance(element)});
 }
 
-void AnswerReader::record_unusable(const std::string& id, const std::string& what) {
+void AnswerReader::record_unusable(const std::string& id, const std::string& problem) {
   ++unusable_;
-  if (first_problem_.empty()) first_problem_ = (id + ": " + what).substr(0, kMaxProblemLength);
+  if (first_problem_.empty()) first_problem_ = (id + ": " + problem).substr(0, kMaxProblemLength);
 }
 
-// Throws where the entry does not say whose it is or how that host fares; what it says wrongly of a host that
-// it names makes this host unusable and no other.
+// Throws if the entry identifies no host or no health. Any other error in the entry makes only this host
+// unusable.
 Instance AnswerReader::parse_instance(std::string_view element) {
   const Json::Value in = parse_object(element);
-  const ConsulService& of = settings_.services[service_];
+  const ConsulService& config = settings_.services[service_];
   const Json::Value& node = required_field(in, "Node", Json::objectValue);
   const Json::Value& service = required_field(in, "Service", Json::objectValue);
   const std::string node_name = required_field(node, "Node", Json::stringValue).asString();
   const std::string service_id = required_field(service, "ID", Json::stringValue).asString();
   Instance i;
-  // Ids are unique on their node only.
-  i.id = of.name + "/" + node_name + "/" + service_id;
+  // Service ids are unique only per node.
+  i.id = config.name + "/" + node_name + "/" + service_id;
   i.health = worst_health(required_field(in, "Checks", Json::arrayValue));
   try {
     i.address.host = optional_text(service, "Address");
     if (i.address.host.empty()) i.address.host = optional_text(node, "Address");
     if (!is_numeric_host(i.address.host)) {
-      throw AnswerError("its address is a name and there is no DNS: '" + i.address.host + "'");
+      throw AnswerError("its address is a name, and there is no DNS: '" + i.address.host + "'");
     }
     const Json::Value& port = service["Port"];
     if (!port.isInt() || port.asInt() < 1 || port.asInt() > 65535) {
@@ -211,34 +211,35 @@
       i.weight_passing = weight_of(weights, "Passing");
       i.weight_warning = weight_of(weights, "Warning");
     } else if (!weights.isNull()) {
-      throw AnswerError("Weights is of a wrong type");
+      throw AnswerError("Weights has a wrong type");
     }
     const Json::Value& meta = service["Meta"];
-    if (!meta.isNull() && !meta.isObject()) throw AnswerError("Meta is of a wrong type");
-    const auto told = [&meta](const std::string& key) {
+    if (!meta.isNull() && !meta.isObject()) throw AnswerError("Meta has a wrong type");
+    const auto meta_value = [&meta](const std::string& key) {
       return meta.isObject() ? optional_text(meta, key.c_str()) : std::string();
     };
-    const std::string destination = told(settings_.meta.destination), rate = told(settings_.meta.rate);
+    const std::string destination = meta_value(settings_.meta.destination),
+                      rate = meta_value(settings_.meta.rate);
     if (!destination.empty()) {
       const auto number = parse_unsigned(destination, 65535);
-      if (!number) throw AnswerError("its destination is no number up to 65535: '" + destination + "'");
+      if (!number) throw AnswerError("its destination is not a number up to 65535: '" + destination + "'");
       i.destination = static_cast<std::uint32_t>(*number);
-    } else if (of.destination) {
-      i.destination = *of.destination;
+    } else if (config.destination) {
+      i.destination = *config.destination;
     } else {
-      throw AnswerError("neither its Meta nor the settings name its destination");
+      throw AnswerError("its destination is set neither in its Meta nor in the settings");
     }
-    i.rate = of.rate;
+    i.rate = config.rate;
     if (!rate.empty()) {
       const char* const end = rate.data() + rate.size();
       const auto [stop, error] = std::from_chars(rate.data(), end, i.rate);
       if (error != std::errc() || stop != end || !(i.rate >= 0) || i.rate > kMaxRate) {
-        throw AnswerError("its rate is no number: '" + rate + "'");
+        throw AnswerError("its rate is not a valid number: '" + rate + "'");
       }
     }
-    const std::string zone = told(settings_.meta.zone), kind = told(settings_.meta.kind);
-    i.zone = position_of(names_.zones, zone.empty() ? of.zone : zone);
-    i.kind = position_of(names_.kinds, kind.empty() ? of.kind : kind);
+    const std::string zone = meta_value(settings_.meta.zone), kind = meta_value(settings_.meta.kind);
+    i.zone = position_of(names_.zones, zone.empty() ? config.zone : zone);
+    i.kind = position_of(names_.kinds, kind.empty() ? config.kind : kind);
   } catch (const AnswerError& e) {
     i.usable = false;
     record_unusable(i.id, e.what());
@@ -247,28 +248,28 @@
 }
 
 ServiceAnswer AnswerReader::finish() {
-  if (!splitter_.done()) throw AnswerError("the answer ends early");
-  std::unordered_set<std::string_view> stale;  // ids of entries that this answer does not have as they were
+  if (!splitter_.done()) throw AnswerError("the answer is truncated");
+  std::unordered_set<std::string_view> stale;  // ids whose known entry is not in this answer
   for (const auto& [hash, known] : known_) {
     if (known.last_answer != answer_number_) stale.insert(known.id);
   }
   ServiceAnswer answer;
   answer.service = service_;
-  std::unordered_set<std::string_view> named;
+  std::unordered_set<std::string_view> new_ids;
   bool any_new = false;
   for (const Staged& s : staged_) {
-    if (!named.insert(s.instance.id).second) throw AnswerError(s.instance.id + " is named twice");
+    if (!new_ids.insert(s.instance.id).second) throw AnswerError(s.instance.id + " is listed twice");
     if (stale.erase(s.instance.id) == 0) any_new = true;
   }
-  // An id is new to this reader, or its entry stands beside the one of before.
+  // An id that was not stale is either new, or its known entry is in this answer too.
   for (auto it = known_.begin(); any_new && it != known_.end(); ++it) {
-    if (it->second.last_answer == answer_number_ && named.contains(it->second.id)) {
-      throw AnswerError(it->second.id + " is named twice");
+    if (it->second.last_answer == answer_number_ && new_ids.contains(it->second.id)) {
+      throw AnswerError(it->second.id + " is listed twice");
     }
   }
   for (const std::string_view id : stale) answer.removed.emplace_back(id);
-  // From here on the answer counts.
-  answer.whole = std::exchange(next_is_full_, false);
+  // The answer is valid: commit it.
+  answer.full = std::exchange(next_is_full_, false);
   std::erase_if(known_, [this](const auto& k) { return k.second.last_answer != answer_number_; });
   for (Staged& s : staged_) {
     known_[s.hash] = {s.instance.id, answer_number_, s.instance.usable};
--- a/src/consul/answer_reader.hpp
+++ b/src/consul/answer_reader.hpp
@@ -1,8 +1,9 @@
-// Reads the answer of /v1/health/service/NAME as it comes, piece by piece, and says what differs from the
-// answer before. No input or output: bytes in, a ServiceAnswer out.
+// Incremental reader of the answers of /v1/health/service/NAME that computes the difference to the previous
+// answer. Performs no I/O: bytes in, a ServiceAnswer out.
 //
-// Memory is bounded by one element and by what differs, not by the answer: an element whose text is the same
-// as before is not read again (compared by a 128-bit hash). An answer counts as a whole or not at all.
+// Memory is bounded by one element and the difference, not by the size of the answer: an element with
+// unchanged text (compared by a 128-bit hash) is not parsed again. An answer is applied as a whole or not at
+// all.
 #pragma once
 
 #include <xxhash.h>
@@ -20,7 +21,7 @@
 
 namespace fennellane {
 
-// What is wrong with an answer, in one line.
+// An invalid answer; the message has one line.
 class AnswerError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -32,13 +33,13 @@
   std::size_t hosts = 20000;
 };
 
-// Cuts the text of a JSON array into its elements.
+// Splits the text of a JSON array into its elements.
 class ArraySplitter {
  public:
-  explicit ArraySplitter(std::size_t most_element) : max_element_(most_element) {}
-  // Calls `take(std::string_view)` for each element that is complete. Throws AnswerError.
-  template <class Take>
-  void feed(std::string_view bytes, Take take);
+  explicit ArraySplitter(std::size_t max_element) : max_element_(max_element) {}
+  // Calls `callback(std::string_view)` for each complete element. Throws AnswerError.
+  template <class Callback>
+  void feed(std::string_view bytes, Callback callback);
   bool done() const { return state_ == State::after; }
   void reset();
 
@@ -52,7 +53,7 @@
   bool escaped_ = false;
 };
 
-// Turns zone and kind names into positions; past the end where they are unknown.
+// Maps zone and kind names to positions; an unknown name has a position past the end.
 struct NamePositions {
   std::vector<std::string> zones, kinds;
 };
@@ -63,14 +64,14 @@
                const AnswerLimits& limits);
 
   void begin();
-  // Throws AnswerError, after which only `begin` may be called; the answer before still stands.
+  // Throws AnswerError, after which only `begin` may be called; the previous answer stays valid.
   void feed(std::string_view bytes);
-  // The end of the answer. Throws AnswerError if it is not whole.
+  // Ends the answer. Throws AnswerError if it is incomplete.
   ServiceAnswer finish();
-  // All that is known is forgotten; the next answer is whole.
+  // Drops the known hosts; the next ServiceAnswer is full.
   void reset();
 
-  // Of the newest answer: hosts that cannot be used, and what is wrong with the first.
+  // Of the newest answer: the number of unusable hosts, and the error of the first one.
   std::size_t unusable() const { return unusable_; }
   const std::string& first_problem() const { return first_problem_; }
   std::size_t hosts() const { return known_.size(); }
@@ -85,12 +86,12 @@
   };
   struct Known {
     std::string id;
-    std::uint32_t last_answer = 0;  // the newest answer that has it
+    std::uint32_t last_answer = 0;  // the newest answer that contained it
     bool usable = true;
   };
   void add_element(std::string_view element);
   Instance parse_instance(std::string_view element);
-  void record_unusable(const std::string& id, const std::string& what);
+  void record_unusable(const std::string& id, const std::string& problem);
 
   const ConsulSettings& settings_;
   const std::uint32_t service_;
@@ -98,7 +99,7 @@
   const AnswerLimits limits_;
   ArraySplitter splitter_;
   std::unordered_map<Hash, Known, HashOf> known_;
-  std::uint32_t answer_number_ = 0;  // counts them
+  std::uint32_t answer_number_ = 0;
   bool next_is_full_ = true;
   std::size_t bytes_ = 0;
   std::size_t host_count_ = 0;
@@ -106,7 +107,7 @@
     Hash hash;
     Instance instance;
   };
-  std::vector<Staged> staged_;  // of the present answer, new or changed
+  std::vector<Staged> staged_;  // new or changed in the present answer
   std::size_t unusable_ = 0;
   std::string first_problem_;
 };
--- a/src/consul/consul_json.cpp
+++ b/src/consul/consul_json.cpp
@@ -8,7 +8,8 @@
 
 namespace fennellane {
 
-// Without checks of its node: only its TTL ends it, as the timing argument in docs/ownership.md wants it.
+// Without node checks, so that only the TTL ends the session, as the timing argument in docs/ownership.md
+// requires.
 std::string session_json(const std::string& name, const char* behavior, Time ttl, Time lock_delay) {
   Json::Value body;
   body["Name"] = name;
@@ -21,17 +22,17 @@
 
 std::string session_id(const std::string& body) {
   std::string id;
-  with_json(body, [&id](const Json::Value& v) {
-    id = v["ID"].asString();
+  with_json(body, [&id](const Json::Value& json) {
+    id = json["ID"].asString();
     return true;
   });
-  // Guards the targets it becomes a part of.
+  // The id becomes part of request targets.
   const bool plain =
       std::all_of(id.begin(), id.end(), [](unsigned char c) { return std::isalnum(c) != 0 || c == '-'; });
   return plain && id.size() <= 64 ? id : "";
 }
 
-// The fence: a transaction with it takes place only while the session holds the role.
+// The fencing operation: a transaction with it succeeds only while the session holds the key's lock.
 Json::Value session_check_operation(const std::string& key, const std::string& session) {
   Json::Value operation;
   operation["KV"]["Verb"] = "check-session";
@@ -94,27 +95,27 @@
 }
 
 bool read_entry(const std::string& body, std::string& value, std::uint64_t& index) {
-  return with_json(body, [&](const Json::Value& v) {
-    if (!v.isArray() || v.size() != 1) return false;
-    value = decoded_value(v[0]);
-    index = v[0]["ModifyIndex"].asUInt64();
+  return with_json(body, [&](const Json::Value& json) {
+    if (!json.isArray() || json.size() != 1) return false;
+    value = decoded_value(json[0]);
+    index = json[0]["ModifyIndex"].asUInt64();
     return true;
   });
 }
 
-asio::awaitable<std::string> create_session(AgentClient& call, std::string body, Time limit) {
-  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/create", std::move(body), limit);
+asio::awaitable<std::string> create_session(AgentClient& client, std::string body, Time limit) {
+  const AgentAnswer answer = co_await client.request("PUT", "/v1/session/create", std::move(body), limit);
   co_return answer.status == 200 ? session_id(answer.body) : "";
 }
 
-asio::awaitable<std::optional<bool>> renew_session(AgentClient& call, std::string session, Time limit) {
-  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/renew/" + session, "", limit);
+asio::awaitable<std::optional<bool>> renew_session(AgentClient& client, std::string session, Time limit) {
+  const AgentAnswer answer = co_await client.request("PUT", "/v1/session/renew/" + session, "", limit);
   if (answer.status != 200 && answer.status != 404) co_return std::nullopt;
   co_return answer.status == 200;
 }
 
-asio::awaitable<bool> destroy_session(AgentClient& call, std::string session, Time limit) {
-  const AgentAnswer answer = co_await call.request("PUT", "/v1/session/destroy/" + session, "", limit);
+asio::awaitable<bool> destroy_session(AgentClient& client, std::string session, Time limit) {
+  const AgentAnswer answer = co_await client.request("PUT", "/v1/session/destroy/" + session, "", limit);
   co_return answer.status == 200;
 }
 
--- a/src/consul/consul_source.cpp
+++ b/src/consul/consul_source.cpp
@@ -8,37 +8,37 @@
 
 namespace fennellane {
 
-ConsulSource::ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext place,
+ConsulSource::ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext context,
                            const Limits& limits, Counters& counters, Log& log, OnHostList on_list,
-                           const ConsulSource* before)
+                           const ConsulSource* previous)
     : io_(io),
       settings_(settings),
-      context_(std::move(place)),
+      context_(std::move(context)),
       limits_(limits),
       counters_(counters),
       log_(log),
       on_list_(std::move(on_list)),
-      budget_(settings.queries_per_second),
+      rate_limiter_(settings.queries_per_second),
       membership_(settings.membership),
       store_(context_.state_folder, limits.max_host_list_file),
       membership_timer_(io),
       save_timer_(io) {
   for (std::uint32_t s = 0; s < settings_.services.size(); ++s) {
     watches_.push_back(std::make_unique<ConsulWatch>(
-        io, settings_, s, context_.names, limits, context_.seed + s, budget_, counters, log,
+        io, settings_, s, context_.names, limits, context_.seed + s, rate_limiter_, counters, log,
         [this](const ServiceAnswer& answer) { return apply_answer(answer); }));
   }
   if (settings_.registration) {
     registration_ = std::make_shared<Registration>(
         io, settings_, settings_.registration->service + "-" + context_.relay, limits, counters, log);
   }
-  if (before != nullptr) restore_from(*before);
+  if (previous != nullptr) restore_from(*previous);
 }
 
-// Services that are still watched go on with what is known of them; others are gone.
-void ConsulSource::restore_from(const ConsulSource& before) {
-  before.membership_.for_each_instance([this, &before](std::uint32_t service, const Instance& instance) {
-    const std::string& name = before.settings_.services[service].name;
+// Restores the hosts of services that are still watched; those of other services are dropped.
+void ConsulSource::restore_from(const ConsulSource& previous) {
+  previous.membership_.for_each_instance([this, &previous](std::uint32_t service, const Instance& instance) {
+    const std::string& name = previous.settings_.services[service].name;
     const auto it = std::find_if(settings_.services.begin(), settings_.services.end(),
                                  [&name](const ConsulService& s) { return s.name == name; });
     if (it == settings_.services.end()) return;
@@ -75,15 +75,15 @@
   if (restored_from_handover_) {
     set_timer();
   } else if (seeded_) {
-    on_list_(membership_.whole_list(), false);
+    on_list_(membership_.full_list(), false);
   } else {
-    const std::string wrong =
+    const std::string error =
         store_.load(settings_, context_.names,
                     [this](std::uint32_t service, const Instance& i) { membership_.restore(service, i); });
-    if (!wrong.empty()) log_("consul", wrong);
-    HostList list = membership_.whole_list();
+    if (!error.empty()) log_("consul", error);
+    HostList list = membership_.full_list();
     if (!list.hosts.empty()) {
-      log_("consul", std::to_string(list.hosts.size()) + " hosts are known from an earlier life");
+      log_("consul", std::to_string(list.hosts.size()) + " hosts restored from the previous process");
       on_list_(std::move(list), true);
     }
   }
@@ -114,10 +114,10 @@
 
 bool ConsulSource::apply_answer(const ServiceAnswer& answer) {
   MembershipChange change = membership_.apply(steady_now(), answer);
-  const bool ask_again = change.query_again;
+  const bool query_again = change.query_again;
   if (!answer.changed.empty() || !answer.removed.empty()) schedule_save();
   publish(std::move(change));
-  return ask_again;
+  return query_again;
 }
 
 void ConsulSource::publish(MembershipChange change) {
@@ -142,7 +142,7 @@
   });
 }
 
-// Guards the loop and the disk against a file written anew with each flip.
+// Rate-limits saving, so that a flapping host does not cause a file write for each change.
 void ConsulSource::schedule_save() {
   if (save_scheduled_ || limits_.max_host_list_file == 0) return;
   save_scheduled_ = true;
@@ -155,9 +155,9 @@
 
 void ConsulSource::save_list() {
   save_scheduled_ = false;
-  const std::string wrong = store_.save(membership_, settings_, context_.names);
+  const std::string error = store_.save(membership_, settings_, context_.names);
   ++counters_.consul_list_saves;
-  if (!wrong.empty()) log_("consul", wrong);
+  if (!error.empty()) log_("consul", error);
 }
 
 }  // namespace fennellane
--- a/src/consul/consul_source.hpp
+++ b/src/consul/consul_source.hpp
@@ -1,5 +1,5 @@
-// The cluster from Consul: a watch for each service, what membership makes of their answers, and the list
-// kept in the state folder for a start without Consul.
+// The host list from Consul: a watch for each service, the membership derived from their answers, and the
+// list saved in the state folder for a start without Consul.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,8 +20,8 @@
 
 namespace fennellane {
 
-struct ConsulSourceContext {  // what the relay gives to each of its sources
-  std::string relay;          // its name
+struct ConsulSourceContext {  // what the relay passes to each Consul source
+  std::string relay;          // the relay's name
   std::uint64_t seed = 0;
   NamePositions names;
   std::string state_folder;
@@ -29,11 +29,11 @@
 
 class ConsulSource : public ClusterSource, public std::enable_shared_from_this<ConsulSource> {
  public:
-  // `before`: the source that this one takes over from, where that was Consul too; may be null. The list it
-  // had goes on; without one, that of an earlier life is told as `cached`.
-  ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext place,
+  // `previous`: the source that this one replaces, if that was Consul too; may be null. Its list is kept;
+  // without one, the saved list of the previous process is passed on as `cached`.
+  ConsulSource(asio::io_context& io, const ConsulSettings& settings, ConsulSourceContext context,
                const Limits& limits, Counters& counters, Log& log, OnHostList on_list,
-               const ConsulSource* before);
+               const ConsulSource* previous);
 
   void start() override;
   void stop() override;
@@ -41,19 +41,19 @@
   void set_ready() override;
 
   const ConsulSettings& settings() const { return settings_; }
-  // What is known of each service and whether the relay is registered, for another process. It is of no use
-  // to one whose services are others.
+  // The membership and whether the relay is registered, for another process. A process configured with other
+  // services ignores the membership.
   std::string save();
-  void load(std::string_view bytes);  // before `start`; throws starlinghook::MemoryError
+  void load(std::string_view bytes);  // before `start`; throws starlinghook::SnapshotError
 
  private:
   std::string services_text() const;
-  bool apply_answer(const ServiceAnswer& answer);  // whether it is wanted once more
+  bool apply_answer(const ServiceAnswer& answer);  // returns whether to repeat the query
   void publish(MembershipChange change);
   void set_timer();
   void schedule_save();
   void save_list();
-  void restore_from(const ConsulSource& before);
+  void restore_from(const ConsulSource& previous);
 
   asio::io_context& io_;
   const ConsulSettings settings_;
@@ -62,16 +62,16 @@
   Counters& counters_;
   Log& log_;
   OnHostList on_list_;
-  QueryRateLimiter budget_;
+  QueryRateLimiter rate_limiter_;
   Membership membership_;
   ListStore store_;
   std::vector<std::unique_ptr<ConsulWatch>> watches_;
   std::shared_ptr<Registration> registration_;  // may be null
-  asio::steady_timer membership_timer_;         // the membership's
+  asio::steady_timer membership_timer_;         // for Membership::tick
   asio::steady_timer save_timer_;
   bool save_scheduled_ = false;
-  bool restored_from_handover_ = false;  // the list goes on as it was told by another process
-  bool seeded_ = false;                  // an earlier life's or an earlier source's list is known
+  bool restored_from_handover_ = false;  // the list continues that of another process
+  bool seeded_ = false;                  // the list continues that of the replaced source
   bool stopped_ = false;
 };
 
--- a/src/consul/consul_watch.cpp
+++ b/src/consul/consul_watch.cpp
@@ -18,11 +18,11 @@
 
 ConsulWatch::ConsulWatch(asio::io_context& io, const ConsulSettings& settings, std::uint32_t service,
                          const NamePositions& names, const Limits& limits, std::uint64_t seed,
-                         QueryRateLimiter& budget, Counters& counters, Log& log, OnAnswer on_answer)
+                         QueryRateLimiter& rate_limiter, Counters& counters, Log& log, OnAnswer on_answer)
     : settings_(settings),
       service_(settings.services[service]),
       limits_(limits),
-      budget_(budget),
+      rate_limiter_(rate_limiter),
       counters_(counters),
       log_(log),
       on_answer_(std::move(on_answer)),
@@ -30,14 +30,14 @@
               {limits.max_consul_answer, limits.max_consul_host, limits.max_consul_hosts}),
       plan_(settings, seed, limits.backoff_min, limits.backoff_max),
       client_(io, settings.agent, limits, limits.max_consul_answer),
-      pause_(io) {
+      sleep_timer_(io) {
   client_.enable_stray_reporting(counters.agent_strays, log);
 }
 
 void ConsulWatch::stop() {
   stopped_ = true;
   client_.close();
-  pause_.cancel();
+  sleep_timer_.cancel();
 }
 
 std::string ConsulWatch::request(const WatchQuery& query) const {
@@ -54,9 +54,9 @@
   const HttpReader& answer = client_.answer();
   AnswerHead head;
   head.status = answer.status();
-  const auto number = [&answer](std::string_view name, std::uint64_t most) -> std::uint64_t {
+  const auto number = [&answer](std::string_view name, std::uint64_t max) -> std::uint64_t {
     const auto text = answer.header(name);
-    return text ? parse_unsigned(*text, most).value_or(0) : 0;
+    return text ? parse_unsigned(*text, max).value_or(0) : 0;
   };
   head.index = number("x-consul-index", UINT64_MAX);
   const auto leader = answer.header("x-consul-knownleader");
@@ -66,8 +66,8 @@
   return head;
 }
 
-bool ConsulWatch::fail(std::string why) {
-  error_ = std::move(why);
+bool ConsulWatch::fail(std::string reason) {
+  error_ = std::move(reason);
   plan_.on_failure();
   client_.close();
   return false;
@@ -75,9 +75,9 @@
 
 asio::awaitable<void> ConsulWatch::sleep_for(Time span) {
   if (span <= Time(0) || stopped_) co_return;
-  pause_.expires_after(span);
+  sleep_timer_.expires_after(span);
   asio::error_code cut_short;
-  co_await pause_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
+  co_await sleep_timer_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
 }
 
 asio::awaitable<bool> ConsulWatch::read_body(ServiceAnswer& answer, steady_clock::time_point end) {
@@ -93,13 +93,13 @@
       ++counters_.consul_rejected;
       co_return fail(e.what());
     }
-    // Guards against an answer that dribbles: all of it has one span of time.
-    const auto left = std::chrono::duration_cast<Time>(end - steady_clock::now());
-    if (left <= Time(0)) co_return fail("the answer takes too long");
-    const bool good = co_await client_.read(left);
-    if (!good) {
+    // One time limit for the whole answer, against a server that sends it byte by byte.
+    const auto remaining = std::chrono::duration_cast<Time>(end - steady_clock::now());
+    if (remaining <= Time(0)) co_return fail("the answer took too long");
+    const bool ok = co_await client_.read(remaining);
+    if (!ok) {
       ++counters_.consul_rejected;
-      co_return fail("the answer ends early, or takes too long");
+      co_return fail("the answer is truncated, unreadable or took too long");
     }
   }
   co_return true;
@@ -113,18 +113,18 @@
     if (!connected) co_return fail("cannot connect to " + settings_.agent.text());
   }
   const bool sent = co_await client_.send(request(query), limits_.agent_read_timeout);
-  if (!sent) co_return fail("the connection has ended");
-  // An agent adds up to a 16th to the time it was asked to wait.
+  if (!sent) co_return fail("the connection was closed");
+  // An agent adds up to 1/16 to the requested wait.
   Time silence = limits_.agent_read_timeout;
   if (query.index > 0) silence += query.wait + query.wait / 16;
-  bool good = co_await client_.read(silence);
+  bool ok = co_await client_.read(silence);
   const auto end = steady_clock::now() + settings_.answer_timeout;
-  while (good && !client_.answer().head_done()) {
-    const auto left = std::chrono::duration_cast<Time>(end - steady_clock::now());
-    good = left > Time(0);
-    if (good) good = co_await client_.read(left);
+  while (ok && !client_.answer().head_done()) {
+    const auto remaining = std::chrono::duration_cast<Time>(end - steady_clock::now());
+    ok = remaining > Time(0);
+    if (ok) ok = co_await client_.read(remaining);
   }
-  if (!good) co_return fail("no answer that can be read");
+  if (!ok) co_return fail("no valid answer");
   const WatchPlan::AnswerUse use = plan_.on_head(head());
   if (use == WatchPlan::AnswerUse::rejected || use == WatchPlan::AnswerUse::index_decreased) {
     error_ = plan_.error();
@@ -132,8 +132,8 @@
     co_return false;
   }
   ServiceAnswer answer;
-  const bool whole = co_await read_body(answer, end);
-  if (!whole) co_return false;
+  const bool complete = co_await read_body(answer, end);
+  if (!complete) co_return false;
   answer.leader_in_contact = use == WatchPlan::AnswerUse::usable;
   answer.from_leader = plan_.from_leader();
   ++counters_.consul_answers;
@@ -142,34 +142,35 @@
   co_return true;
 }
 
-// Once for each trouble, and once for its end: an agent that is down for an hour makes no hundred lines.
-void ConsulWatch::log_error_change(const std::string& trouble) {
-  if (trouble == logged_error_) return;
-  if (trouble.empty()) {
-    log_("consul", service_.name + ": answers again");
+// Logs an error when it changes and once when it ends, so that a long outage of the agent does not flood the
+// log.
+void ConsulWatch::log_error_change(const std::string& error) {
+  if (error == logged_error_) return;
+  if (error.empty()) {
+    log_("consul", service_.name + ": answering again");
   } else {
-    log_("consul", service_.name + ": " + trouble + "; the last good list stays");
+    log_("consul", service_.name + ": " + error + "; keeping the last valid list");
   }
-  logged_error_ = trouble;
+  logged_error_ = error;
 }
 
 asio::awaitable<void> ConsulWatch::run() {
   while (!stopped_) {
-    co_await sleep_for(budget_.reserve(steady_now()) - steady_now());
+    co_await sleep_for(rate_limiter_.reserve(steady_now()) - steady_now());
     if (stopped_) break;
     error_.clear();
-    const bool good = co_await run_query();
+    const bool ok = co_await run_query();
     if (stopped_) break;
-    if (!good) ++counters_.consul_errors;
-    log_error_change(good ? std::string() : error_);
-    if (good && reader_.first_problem() != logged_problem_) {
+    if (!ok) ++counters_.consul_errors;
+    log_error_change(ok ? std::string() : error_);
+    if (ok && reader_.first_problem() != logged_problem_) {
       logged_problem_ = reader_.first_problem();
       if (!logged_problem_.empty()) {
         log_("consul", service_.name + ": " + std::to_string(reader_.unusable()) +
-                           " hosts cannot be used, among them " + logged_problem_);
+                           " unusable hosts, among them " + logged_problem_);
       }
     }
-    if (!good) co_await sleep_for(plan_.pause());
+    if (!ok) co_await sleep_for(plan_.pause());
   }
   client_.close();
 }
--- a/src/consul/consul_watch.hpp
+++ b/src/consul/consul_watch.hpp
@@ -1,4 +1,4 @@
-// One watch on /v1/health/service/NAME: asks, reads the answer as it comes, and asks again.
+// One watch on /v1/health/service/NAME: repeats blocking queries and reads the answers incrementally.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -17,39 +17,39 @@
 
 class ConsulWatch {
  public:
-  // Returns whether the same answer is wanted once more, at once.
+  // Returns whether to repeat the query at once.
   using OnAnswer = std::function<bool(const ServiceAnswer&)>;
   ConsulWatch(asio::io_context& io, const ConsulSettings& settings, std::uint32_t service,
-              const NamePositions& names, const Limits& limits, std::uint64_t seed, QueryRateLimiter& budget,
-              Counters& counters, Log& log, OnAnswer on_answer);
+              const NamePositions& names, const Limits& limits, std::uint64_t seed,
+              QueryRateLimiter& rate_limiter, Counters& counters, Log& log, OnAnswer on_answer);
 
-  // Until `stop`; whoever spawns it keeps this object until it has returned.
+  // Runs until `stop`; the caller must keep this object alive until it has returned.
   asio::awaitable<void> run();
   void stop();
 
  private:
-  asio::awaitable<bool> run_query();  // false: it has failed, with the cause in `trouble_`
+  asio::awaitable<bool> run_query();  // false: failed, with the cause in `error_`
   asio::awaitable<bool> read_body(ServiceAnswer& answer, asio::steady_timer::time_point end);
   asio::awaitable<void> sleep_for(Time span);
-  bool fail(std::string why);
+  bool fail(std::string reason);
   std::string request(const WatchQuery& query) const;
   AnswerHead head() const;
-  void log_error_change(const std::string& trouble);
+  void log_error_change(const std::string& error);
 
   const ConsulSettings& settings_;
   const ConsulService& service_;
   const Limits& limits_;
-  QueryRateLimiter& budget_;
+  QueryRateLimiter& rate_limiter_;
   Counters& counters_;
   Log& log_;
   OnAnswer on_answer_;
   AnswerReader reader_;
   WatchPlan plan_;
   HttpClient client_;
-  asio::steady_timer pause_;
+  asio::steady_timer sleep_timer_;
   std::string error_;           // of the present query
-  std::string logged_error_;    // the trouble that the log has heard of; empty = none
-  std::string logged_problem_;  // of hosts that cannot be used, as the log has heard it
+  std::string logged_error_;    // the error logged last; empty = none
+  std::string logged_problem_;  // of unusable hosts, as logged last
   bool stopped_ = false;
 };
 
--- a/src/consul/drain_agent.cpp
+++ b/src/consul/drain_agent.cpp
@@ -6,8 +6,8 @@
 namespace fennellane {
 
 DrainAgent::DrainAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-                       const Limits& limits, Counters& counters, Log& log, OnInput tell)
-    : FleetAgentBase(io, std::move(tell)),
+                       const Limits& limits, Counters& counters, Log& log, OnInput on_input)
+    : FleetAgentBase(io, std::move(on_input)),
       consul_(consul),
       settings_(settings),
       limits_(limits),
@@ -26,17 +26,17 @@
   spawn([this, e]() -> asio::awaitable<void> {
     const drain::SlotSettings& slot = settings_.drain->slot;
     const Time sent = steady_now();
-    // Its contender key goes with it, so that nothing is left of those that came and went. It needs no
-    // lock-delay: nobody else ever wants that key.
+    // The contender key is deleted with the session, so that no keys accumulate. No lock-delay is needed,
+    // since no other session acquires that key.
     const std::string body = session_json(slot.relay + " slot", "delete", e.ttl, Time(0));
     const std::string id = co_await create_session(client_, body, slot.call);
     if (id.empty()) {
       post_drain_input(drain::CallFailed{});
       co_return;
     }
-    const AgentAnswer contends = co_await client_.request(
+    const AgentAnswer acquired = co_await client_.request(
         "PUT", "/v1/kv/" + budget_prefix(settings_) + id + "?acquire=" + id, slot.relay, slot.call);
-    if (contends.status == 200 && contends.body.starts_with("true")) {
+    if (acquired.status == 200 && acquired.body.starts_with("true")) {
       post_drain_input(drain::SessionCreated{id, sent});
     } else {
       co_await destroy_session(client_, id, slot.call);
@@ -60,7 +60,7 @@
 void DrainAgent::on(const drain::WatchBudget& e) {
   if (watch_) std::exchange(watch_, nullptr)->stop();
   if (!e.on) return;
-  const auto take = [this](const AgentAnswer& answer, bool) {
+  const auto on_answer = [this](const AgentAnswer& answer, bool) {
     drain::BudgetSeen seen;
     if (answer.status == 200 && !read_semaphore(answer.body, budget_prefix(settings_), seen)) return false;
     post_drain_input(std::move(seen));
@@ -68,7 +68,7 @@
   };
   watch_ = std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, budget_prefix(settings_),
                                       KeyWatch::ReadMode::subtree, settings_.drain->slot.call,
-                                      settings_.blocking_wait, take);
+                                      settings_.blocking_wait, on_answer);
   watch_->start();
 }
 
@@ -90,11 +90,11 @@
     operations.append(cas_operation(budget_key(settings_), e.index, budget_json(e.next)));
     const AgentAnswer answer =
         co_await client_.request("PUT", "/v1/txn", json_text(operations), settings_.drain->slot.call);
-    const lease::WriteResult how = transaction_result(answer);
-    if (how == lease::WriteResult::unknown) {
+    const lease::WriteResult result = transaction_result(answer);
+    if (result == lease::WriteResult::unknown) {
       post_drain_input(drain::CallFailed{});
     } else {
-      post_drain_input(drain::SlotAnswer{how == lease::WriteResult::accepted});
+      post_drain_input(drain::SlotAnswer{result == lease::WriteResult::accepted});
     }
   });
 }
--- a/src/consul/drain_agent.hpp
+++ b/src/consul/drain_agent.hpp
@@ -1,6 +1,6 @@
-// Carries out on Consul what a slot of the disruption budget asks for: the semaphore recipe's session,
-// contender key, blocking read and transaction, and the catalogue's count. Every answer goes back as an
-// input.
+// Executes the effects of a slot of the disruption budget against Consul: the session, contender key,
+// blocking read and transaction of the semaphore recipe, and the read of the catalogue. Every answer is
+// posted as an input.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,11 +16,11 @@
 
 class DrainAgent : public FleetAgentBase {
  public:
-  // `settings` has a section drain; the references outlive it.
+  // `settings` has a section drain; the references must outlive this object.
   DrainAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-             const Limits& limits, Counters& counters, Log& log, OnInput tell);
+             const Limits& limits, Counters& counters, Log& log, OnInput on_input);
 
-  // Of all but GoOut.
+  // All effects but GoOffline.
   void execute(const drain::Effect& effect);
 
  private:
@@ -40,7 +40,7 @@
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  AgentClient client_;  // one at a time
+  AgentClient client_;  // one request at a time
   std::shared_ptr<KeyWatch> watch_;
   asio::steady_timer timer_;
 };
--- a/src/consul/ejection_agent.cpp
+++ b/src/consul/ejection_agent.cpp
@@ -14,8 +14,8 @@
                                                            ejection::DegradationKind::reduced_limit};
 
 std::optional<ejection::DegradationKind> kind_named(const std::string& name) {
-  for (const ejection::DegradationKind state : kDegradationKinds)
-    if (name == name_of(state)) return state;
+  for (const ejection::DegradationKind kind : kDegradationKinds)
+    if (name == name_of(kind)) return kind;
   return std::nullopt;
 }
 
@@ -25,41 +25,41 @@
 
 }  // namespace
 
-std::string report_json(const ejection::Report& r) {
+std::string report_json(const ejection::Report& report) {
   Json::Value out;
-  out["relay"] = r.relay;
-  out["beat"] = Json::UInt64(r.heartbeat);
+  out["relay"] = report.relay;
+  out["beat"] = Json::UInt64(report.heartbeat);
   out["ailing"] = Json::Value(Json::arrayValue);
-  for (const ejection::DegradedEndpoint& a : r.degraded_endpoints) {
-    Json::Value one;
-    one["host"] = a.host;
-    one["state"] = name_of(a.kind);
-    one["bad"] = a.failure_share;
-    one["kept"] = a.exempt;
-    out["ailing"].append(std::move(one));
+  for (const ejection::DegradedEndpoint& endpoint : report.degraded_endpoints) {
+    Json::Value entry;
+    entry["host"] = endpoint.host;
+    entry["state"] = name_of(endpoint.kind);
+    entry["bad"] = endpoint.failure_share;
+    entry["kept"] = endpoint.exempt;
+    out["ailing"].append(std::move(entry));
   }
   return json_text(out);
 }
 
 bool read_reports(const std::string& body, std::vector<ejection::StoredReport>& reports) {
-  return with_json(body, [&reports](const Json::Value& all) {
-    if (!all.isArray()) return false;
-    for (const Json::Value& entry : all) {
-      ejection::StoredReport read;
-      read.index = entry["ModifyIndex"].asUInt64();
-      const bool good = with_json(decoded_value(entry), [&read](const Json::Value& v) {
-        read.report.relay = v["relay"].asString();
-        read.report.heartbeat = v["beat"].asUInt64();
-        for (const Json::Value& one : v["ailing"]) {
-          const auto state = kind_named(one["state"].asString());
-          if (!state) return false;
-          read.report.degraded_endpoints.push_back({one["host"].asString(), *state,
-                                                    std::clamp(one["bad"].asDouble(), 0.0, 1.0),
-                                                    one["kept"].asBool()});
+  return with_json(body, [&reports](const Json::Value& json) {
+    if (!json.isArray()) return false;
+    for (const Json::Value& entry : json) {
+      ejection::StoredReport stored;
+      stored.index = entry["ModifyIndex"].asUInt64();
+      const bool ok = with_json(decoded_value(entry), [&stored](const Json::Value& v) {
+        stored.report.relay = v["relay"].asString();
+        stored.report.heartbeat = v["beat"].asUInt64();
+        for (const Json::Value& endpoint : v["ailing"]) {
+          const auto kind = kind_named(endpoint["state"].asString());
+          if (!kind) return false;
+          stored.report.degraded_endpoints.push_back({endpoint["host"].asString(), *kind,
+                                                      std::clamp(endpoint["bad"].asDouble(), 0.0, 1.0),
+                                                      endpoint["kept"].asBool()});
         }
-        return !read.report.relay.empty();
+        return !stored.report.relay.empty();
       });
-      if (good) reports.push_back(std::move(read));
+      if (ok) reports.push_back(std::move(stored));
     }
     return true;
   });
@@ -83,39 +83,39 @@
 }
 
 std::optional<ejection::Verdict> read_verdict(const std::string& text) {
-  ejection::Verdict v;
-  const bool good = with_json(text, [&v](const Json::Value& in) {
-    v.token = in["token"].asUInt64();
-    v.heartbeat = in["beat"].asUInt64();
-    v.all = in["all"].asBool();
-    for (const Json::Value& destination : in["closed"]) v.closed.push_back(destination.asUInt());
-    for (const Json::Value& host : in["out"]) v.out.push_back(host.asString());
-    // Guards those who look things up in them.
-    std::sort(v.closed.begin(), v.closed.end());
-    std::sort(v.out.begin(), v.out.end());
-    v.failing = in["failing"].asUInt();
-    v.reduced = in["reduced"].asUInt();
-    v.drained = in["drained"].asUInt();
-    v.listed = in["listed"].asUInt();
-    v.relays = in["relays"].asUInt();
-    return in["token"].isUInt64() && in["closed"].isArray() && in["out"].isArray();
+  ejection::Verdict verdict;
+  const bool ok = with_json(text, [&verdict](const Json::Value& json) {
+    verdict.token = json["token"].asUInt64();
+    verdict.heartbeat = json["beat"].asUInt64();
+    verdict.all = json["all"].asBool();
+    for (const Json::Value& destination : json["closed"]) verdict.closed.push_back(destination.asUInt());
+    for (const Json::Value& host : json["out"]) verdict.out.push_back(host.asString());
+    // Both are searched by binary search.
+    std::sort(verdict.closed.begin(), verdict.closed.end());
+    std::sort(verdict.out.begin(), verdict.out.end());
+    verdict.failing = json["failing"].asUInt();
+    verdict.reduced = json["reduced"].asUInt();
+    verdict.drained = json["drained"].asUInt();
+    verdict.listed = json["listed"].asUInt();
+    verdict.relays = json["relays"].asUInt();
+    return json["token"].isUInt64() && json["closed"].isArray() && json["out"].isArray();
   });
-  return good ? std::optional(std::move(v)) : std::nullopt;
+  return ok ? std::optional(std::move(verdict)) : std::nullopt;
 }
 
-std::string verdict_transaction_json(const FleetSettings& settings, const ejection::WriteVerdict& step) {
+std::string verdict_transaction_json(const FleetSettings& settings, const ejection::WriteVerdict& command) {
   Json::Value operations(Json::arrayValue);
-  operations.append(session_check_operation(role_key(settings, fleet::kEjectionRole), step.session));
-  operations.append(set_operation(verdict_key(settings), verdict_json(step.verdict)));
-  for (const auto& [relay, index] : step.forget)
+  operations.append(session_check_operation(role_key(settings, fleet::kEjectionRole), command.session));
+  operations.append(set_operation(verdict_key(settings), verdict_json(command.verdict)));
+  for (const auto& [relay, index] : command.forget)
     operations.append(delete_cas_operation(degraded_prefix(settings) + relay, index));
   return json_text(operations);
 }
 
 EjectionAgent::EjectionAgent(asio::io_context& io, const ConsulSettings& consul,
                              const FleetSettings& settings, const Limits& limits, Counters& counters,
-                             Log& log, OnInput tell)
-    : FleetAgentBase(io, std::move(tell)),
+                             Log& log, OnInput on_input)
+    : FleetAgentBase(io, std::move(on_input)),
       consul_(consul),
       settings_(settings),
       limits_(limits),
@@ -130,8 +130,8 @@
 }
 
 void EjectionAgent::start() {
-  const auto take = [this](const AgentAnswer& answer, bool afresh) {
-    ejection::VerdictSeen seen{std::nullopt, afresh};
+  const auto on_answer = [this](const AgentAnswer& answer, bool index_reset) {
+    ejection::VerdictSeen seen{std::nullopt, index_reset};
     if (answer.status == 200) {
       seen.verdict = read_verdict(answer.body);
       if (!seen.verdict) return false;
@@ -140,7 +140,8 @@
     return true;
   };
   std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, verdict_key(settings_),
-                             KeyWatch::ReadMode::value, settings_.timing.call, settings_.blocking_wait, take)
+                             KeyWatch::ReadMode::value, settings_.timing.call, settings_.blocking_wait,
+                             on_answer)
       ->start();
   post_input(fleet::ReporterInput{ejection::CheckTimerExpired{}});
 }
@@ -152,7 +153,7 @@
   std::visit([this](const auto& e) { on(e); }, effect);
 }
 
-// One that is lost is followed by the next: nothing waits for it.
+// A lost report is superseded by the next one; nothing waits for the answer.
 void EjectionAgent::on(const ejection::WriteReport& e) {
   spawn([this, e]() -> asio::awaitable<void> {
     const std::string target = "/v1/kv/" + degraded_prefix(settings_) + e.report.relay;
@@ -190,7 +191,7 @@
   });
 }
 
-// --- For operators
+// --- The operator's command
 namespace {
 
 void print_verdict(const std::optional<ejection::Verdict>& verdict, std::ostream& out) {
@@ -211,9 +212,9 @@
 
 void print_reports(const std::vector<ejection::StoredReport>& reports, std::ostream& out) {
   std::map<std::string, std::map<std::string, int>> hosts;
-  for (const ejection::StoredReport& read : reports)
-    for (const ejection::DegradedEndpoint& a : read.report.degraded_endpoints)
-      ++hosts[a.host][std::string(name_of(a.kind)) + (a.exempt ? " and called" : "")];
+  for (const ejection::StoredReport& stored : reports)
+    for (const ejection::DegradedEndpoint& endpoint : stored.report.degraded_endpoints)
+      ++hosts[endpoint.host][std::string(name_of(endpoint.kind)) + (endpoint.exempt ? " and called" : "")];
   for (const auto& [host, states] : hosts) {
     out << host << ":";
     for (const auto& [state, relays] : states) out << " " << state << " at " << relays;
@@ -224,19 +225,20 @@
 }  // namespace
 
 bool show_ejections(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                    std::ostream& out, std::string& trouble) {
+                    std::ostream& out, std::string& error) {
   return run_agent_query(
-      consul, limits, limits.max_fleet_answer, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
-        const std::string of_verdict = "/v1/kv/" + verdict_key(settings) + "?raw&consistent";
-        const AgentAnswer verdict = co_await call.request("GET", of_verdict, "", settings.timing.call);
-        const std::string of_reports = reports_target(settings);
-        const AgentAnswer all = co_await call.request("GET", of_reports, "", settings.timing.call);
+      consul, limits, limits.max_fleet_answer, error, [&](AgentClient& client) -> asio::awaitable<void> {
+        const std::string verdict_target = "/v1/kv/" + verdict_key(settings) + "?raw&consistent";
+        const AgentAnswer verdict = co_await client.request("GET", verdict_target, "", settings.timing.call);
+        const std::string all_reports_target = reports_target(settings);
+        const AgentAnswer all_reports =
+            co_await client.request("GET", all_reports_target, "", settings.timing.call);
         std::vector<ejection::StoredReport> reports;
-        for (const AgentAnswer* answer : {&verdict, &all})
-          if (answer->status != 200 && answer->status != 404) trouble = no_answer_message(*answer);
-        if (trouble.empty() && all.status == 200 && !read_reports(all.body, reports))
-          trouble = "the reports can't be read";
-        if (!trouble.empty()) co_return;
+        for (const AgentAnswer* answer : {&verdict, &all_reports})
+          if (answer->status != 200 && answer->status != 404) error = no_answer_message(*answer);
+        if (error.empty() && all_reports.status == 200 && !read_reports(all_reports.body, reports))
+          error = "the reports can't be read";
+        if (!error.empty()) co_return;
         print_verdict(verdict.status == 200 ? read_verdict(verdict.body) : std::nullopt, out);
         print_reports(reports, out);
       });
--- a/src/consul/ejection_agent.hpp
+++ b/src/consul/ejection_agent.hpp
@@ -1,5 +1,5 @@
-// Carries out on Consul what the cap on endpoints out asks for: the watch of the verdict, this relay's
-// reports, and the arbiter's reads and fenced writes. Every answer goes back as an input.
+// Executes the effects of the ejection cap against Consul: the watch of the verdict, this relay's reports,
+// and the arbiter's reads and fenced writes. Every answer is posted as an input.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,23 +16,23 @@
 
 namespace fennellane {
 
-// The values in the store, as JSON and back.
+// JSON forms of the stored values.
 std::string report_json(const ejection::Report& report);
-// Of GET /v1/kv/PREFIX/ejection/relay/?recurse; false where it can't be read. One that can't is left out.
+// From GET /v1/kv/PREFIX/ejection/relay/?recurse; false if unreadable. Single unreadable reports are skipped.
 bool read_reports(const std::string& body, std::vector<ejection::StoredReport>& reports);
 std::string verdict_json(const ejection::Verdict& verdict);
 std::optional<ejection::Verdict> read_verdict(const std::string& text);
-// The arbiter's write: the role's lock is this session's, and old reports go as they were read.
-std::string verdict_transaction_json(const FleetSettings& settings, const ejection::WriteVerdict& step);
+// The arbiter's write, fenced by the role's lock; old reports are deleted only if unchanged since the read.
+std::string verdict_transaction_json(const FleetSettings& settings, const ejection::WriteVerdict& command);
 
 class EjectionAgent : public FleetAgentBase {
  public:
-  // `settings` has a section ejection; the references outlive it.
+  // `settings` has a section ejection; the references must outlive this object.
   EjectionAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-                const Limits& limits, Counters& counters, Log& log, OnInput tell);
+                const Limits& limits, Counters& counters, Log& log, OnInput on_input);
 
   void start();
-  // Of all but CapEndpoints.
+  // All effects but CapEndpoints.
   void execute(const ejection::ReporterEffect& effect);
   void execute(const ejection::ArbiterEffect& effect);
 
@@ -51,13 +51,13 @@
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  AgentClient report_client_, arbiter_client_;  // this relay's reports; the arbiter's calls
+  AgentClient report_client_, arbiter_client_;  // this relay's reports; the arbiter's requests
   asio::steady_timer check_timer_, read_timer_;
 };
 
-// What the store says: the verdict, and how many relays find each endpoint out. False, with `trouble`, where
-// Consul does not answer.
+// Prints the stored verdict, and for each endpoint how many relays report it in which state. False, with
+// `error` set, if Consul does not answer.
 bool show_ejections(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                    std::ostream& out, std::string& trouble);
+                    std::ostream& out, std::string& error);
 
 }  // namespace fennellane
--- a/src/consul/fleet_agent.cpp
+++ b/src/consul/fleet_agent.cpp
@@ -8,32 +8,33 @@
 
 namespace fennellane {
 
-bool read_key(const std::string& body, lease::KeyRead& seen) {
-  return with_json(body, [&seen](const Json::Value& v) {
-    if (!v.isArray() || v.size() != 1 || !v[0].isObject() || !v[0]["LockIndex"].isUInt64()) return false;
-    seen.holder = v[0].get("Session", "").asString();
-    seen.lock_index = v[0]["LockIndex"].asUInt64();
-    seen.lapsed = seen.holder.empty() && !v[0].get("Value", "").asString().empty();
+bool read_key(const std::string& body, lease::KeyRead& read) {
+  return with_json(body, [&read](const Json::Value& json) {
+    if (!json.isArray() || json.size() != 1 || !json[0].isObject() || !json[0]["LockIndex"].isUInt64())
+      return false;
+    read.holder = json[0].get("Session", "").asString();
+    read.lock_index = json[0]["LockIndex"].asUInt64();
+    read.lapsed = read.holder.empty() && !json[0].get("Value", "").asString().empty();
     return true;
   });
 }
 
-bool read_registrations(const std::string& body, std::vector<fleet::Registration>& all) {
-  return with_json(body, [&all](const Json::Value& v) {
-    if (!v.isArray()) return false;
-    for (const Json::Value& each : v) {
+bool read_registrations(const std::string& body, std::vector<fleet::Registration>& registrations) {
+  return with_json(body, [&registrations](const Json::Value& json) {
+    if (!json.isArray()) return false;
+    for (const Json::Value& entry : json) {
       fleet::Registration r;
-      r.node = each["Node"]["Node"].asString();
-      r.id = each["Service"]["ID"].asString();
-      r.service_index = each["Service"]["ModifyIndex"].asUInt64();
-      for (const Json::Value& check : each["Checks"]) {
-        // Its own check; the node's is another matter.
+      r.node = entry["Node"]["Node"].asString();
+      r.id = entry["Service"]["ID"].asString();
+      r.service_index = entry["Service"]["ModifyIndex"].asUInt64();
+      for (const Json::Value& check : entry["Checks"]) {
+        // Only the service's own check; node checks have no ServiceID.
         if (check["ServiceID"].asString() != r.id || !r.check.empty()) continue;
         r.check = check["CheckID"].asString();
         r.check_index = check["ModifyIndex"].asUInt64();
         r.critical = check["Status"].asString() == "critical";
       }
-      all.push_back(std::move(r));
+      registrations.push_back(std::move(r));
     }
     return true;
   });
@@ -60,35 +61,36 @@
   return json_text(operations);
 }
 
-// The two values, both JSON: the head, and beside the list the list itself.
+// Both values are JSON objects with the head; the stored list also contains the list.
 bool parse_shared_list(const std::string& body, fleet::SharedHead& head, std::string& list) {
-  return with_json(body, [&](const Json::Value& v) {
-    head = {v["token"].asUInt64(), v["beat"].asUInt64(), v["version"].asUInt64(), v["source"].asString()};
-    list = v["list"].asString();
-    return v["token"].isUInt64() && v["version"].isUInt64();
+  return with_json(body, [&](const Json::Value& json) {
+    head = {json["token"].asUInt64(), json["beat"].asUInt64(), json["version"].asUInt64(),
+            json["source"].asString()};
+    list = json["list"].asString();
+    return json["token"].isUInt64() && json["version"].isUInt64();
   });
 }
 
-std::string publish_transaction_json(const std::string& role, const std::string& list,
-                                     const std::string& beat, const fleet::Publish& publish) {
+std::string publish_transaction_json(const std::string& role_key, const std::string& list_key,
+                                     const std::string& heartbeat_key, const fleet::Publish& publish) {
   Json::Value operations(Json::arrayValue), head;
   head["token"] = Json::UInt64(publish.head.token);
   head["beat"] = Json::UInt64(publish.head.heartbeat);
   head["version"] = Json::UInt64(publish.head.version);
   head["source"] = publish.head.source;
-  operations.append(session_check_operation(role, publish.session));
-  operations.append(set_operation(beat, json_text(head)));
+  operations.append(session_check_operation(role_key, publish.session));
+  operations.append(set_operation(heartbeat_key, json_text(head)));
   if (publish.text) {
     head["list"] = *publish.text;
-    operations.append(set_operation(list, json_text(head)));
+    operations.append(set_operation(list_key, json_text(head)));
   }
   return json_text(operations);
 }
 
 FleetAgent::FleetAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
                        const std::string& relay, const Limits& limits, Counters& counters, Log& log,
-                       OnInput tell)
-    : FleetAgentBase(io, std::move(tell)),
+                       OnInput on_input)
+    : FleetAgentBase(io, std::move(on_input)),
       consul_(consul),
       settings_(settings),
       relay_(relay),
@@ -103,8 +105,8 @@
   for (const std::string& role : settings_.roles)
     roles_.push_back(std::make_unique<Role>(io, consul_, limits, role, role_key(settings_, role)));
   for (const auto& role : roles_) role->client.report_strays(counters.agent_strays, log);
-  for (AgentClient* call : {&sweep_client_, &publish_client_, &list_client_})
-    call->report_strays(counters.agent_strays, log);
+  for (AgentClient* client : {&sweep_client_, &publish_client_, &list_client_})
+    client->report_strays(counters.agent_strays, log);
   if (settings_.drain)
     drain_ = std::make_shared<DrainAgent>(io, consul_, settings_, limits, counters, log, on_input_);
   if (settings_.release)
@@ -197,8 +199,8 @@
   ++counters_.lease_calls;
   spawn([this, role, e]() -> asio::awaitable<void> {
     Role& r = *roles_[role];
-    // Released first: a session that is destroyed while it holds starts the lock-delay.
-    // The value it leaves says that this was no lapse.
+    // Released before the session is destroyed: destroying it while it holds the lock starts the lock-delay.
+    // The empty value written by the release tells it from a lapse.
     if (e.holds_lock)
       co_await r.client.request("PUT", "/v1/kv/" + r.key + "?release=" + e.session, "",
                                 settings_.timing.call);
@@ -223,34 +225,36 @@
 }
 
 void FleetAgent::watch_role(std::uint32_t role) {
-  const auto take = [this, role](const AgentAnswer& answer, bool afresh) {
-    lease::KeyRead seen;
-    if (answer.status == 200 && !read_key(answer.body, seen)) return false;
-    seen.modify_index = answer.index;
-    seen.index_reset = afresh;
-    post_lease_input(role, std::move(seen));
+  const auto on_answer = [this, role](const AgentAnswer& answer, bool index_reset) {
+    lease::KeyRead read;
+    if (answer.status == 200 && !read_key(answer.body, read)) return false;
+    read.modify_index = answer.index;
+    read.index_reset = index_reset;
+    post_lease_input(role, std::move(read));
     return true;
   };
   std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, roles_[role]->key,
-                             KeyWatch::ReadMode::key, settings_.timing.call, settings_.blocking_wait, take)
+                             KeyWatch::ReadMode::key, settings_.timing.call, settings_.blocking_wait,
+                             on_answer)
       ->start();
 }
 
 // --- The shared list
 void FleetAgent::watch_heartbeat() {
-  const auto take = [this](const AgentAnswer& answer, bool afresh) {
-    fleet::HeartbeatRead seen{std::nullopt, afresh};
+  const auto on_answer = [this](const AgentAnswer& answer, bool index_reset) {
+    fleet::HeartbeatRead read{std::nullopt, index_reset};
     if (answer.status == 200) {
       fleet::SharedHead head;
       std::string ignored;
       if (!parse_shared_list(answer.body, head, ignored)) return false;
-      seen.head = std::move(head);
+      read.head = std::move(head);
     }
-    post_input(fleet::RefreshRoleInput{std::move(seen)});
+    post_input(fleet::RefreshRoleInput{std::move(read)});
     return true;
   };
   std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, heartbeat_key(),
-                             KeyWatch::ReadMode::value, settings_.timing.call, settings_.blocking_wait, take)
+                             KeyWatch::ReadMode::value, settings_.timing.call, settings_.blocking_wait,
+                             on_answer)
       ->start();
 }
 
@@ -261,14 +265,14 @@
     return set_timer(refresh_timer_, timer->at,
                      [] { return fleet::Input(fleet::RefreshRoleInput{fleet::RefreshTimerExpired{}}); });
   }
-  if (const auto* said = std::get_if<fleet::RefreshLogMessage>(&e.effect)) log_("refresh", said->text);
+  if (const auto* message = std::get_if<fleet::RefreshLogMessage>(&e.effect)) log_("refresh", message->text);
 }
 
 void FleetAgent::execute(const fleet::Publish& e) {
   spawn([this, e]() -> asio::awaitable<void> {
     fleet::Published published{e.head.token, lease::WriteResult::unknown};
     if (e.text && e.text->size() > limits_.max_fleet_list) {
-      log_("refresh", "the list is too long to be shared: " + std::to_string(e.text->size()) + " bytes");
+      log_("refresh", "the list is too long to publish: " + std::to_string(e.text->size()) + " bytes");
     } else {
       const std::string body =
           publish_transaction_json(role_key(settings_, fleet::kRefreshRole), list_key(), heartbeat_key(), e);
@@ -282,11 +286,11 @@
 
 void FleetAgent::read_shared_list() {
   spawn([this]() -> asio::awaitable<void> {
-    fleet::SharedListRead seen;
+    fleet::SharedListRead read;
     const AgentAnswer answer = co_await list_client_.request(
         "GET", "/v1/kv/" + list_key() + "?raw&consistent", "", settings_.timing.call);
-    seen.ok = answer.status == 200 && parse_shared_list(answer.body, seen.head, seen.text);
-    post_input(fleet::RefreshRoleInput{std::move(seen)});
+    read.ok = answer.status == 200 && parse_shared_list(answer.body, read.head, read.text);
+    post_input(fleet::RefreshRoleInput{std::move(read)});
   });
 }
 
--- a/src/consul/fleet_agent.hpp
+++ b/src/consul/fleet_agent.hpp
@@ -1,5 +1,5 @@
-// Carries out on Consul what the fleet's decisions ask for: the leases' sessions, locks and blocking reads,
-// and the work of the roles. Every answer goes back as an input to the reducer; nothing is decided here.
+// Executes the fleet's effects against Consul: the leases' sessions, locks and blocking reads, and the work
+// of the roles. Every answer is posted as an input to the reducer; no decisions are made here.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -22,23 +22,23 @@
 
 namespace fennellane {
 
-// The bodies and answers of Consul's API that it uses.
-// Of the answer to GET /v1/kv/KEY; false where it can't be read.
-bool read_key(const std::string& body, lease::KeyRead& seen);
-// Of GET /v1/health/service/NAME; false where it can't be read.
-bool read_registrations(const std::string& body, std::vector<fleet::Registration>& all);
-// One transaction: the role's lock is this session's, then each registration goes as it was read.
+// Request bodies and answers of Consul's API.
+// From the answer to GET /v1/kv/KEY; false if unreadable.
+bool read_key(const std::string& body, lease::KeyRead& read);
+// From GET /v1/health/service/NAME; false if unreadable.
+bool read_registrations(const std::string& body, std::vector<fleet::Registration>& registrations);
+// One transaction, fenced by the role's lock, that deletes each registration if unchanged since the read.
 std::string removal_transaction_json(const std::string& key, const fleet::RemoveRegistrations& removal);
 
-// The two values of the shared list; `list` stays empty for the beat.
+// The two values of the shared list; `list` stays empty for the heartbeat.
 bool parse_shared_list(const std::string& body, fleet::SharedHead& head, std::string& list);
-std::string publish_transaction_json(const std::string& role, const std::string& list,
-                                     const std::string& beat, const fleet::Publish& publish);
+std::string publish_transaction_json(const std::string& role_key, const std::string& list_key,
+                                     const std::string& heartbeat_key, const fleet::Publish& publish);
 
 class FleetAgent : public FleetAgentBase {
  public:
   FleetAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-             const std::string& relay, const Limits& limits, Counters& counters, Log& log, OnInput tell);
+             const std::string& relay, const Limits& limits, Counters& counters, Log& log, OnInput on_input);
 
   void start();
   void execute(const fleet::Effect& effect);
@@ -52,7 +52,7 @@
           client(io, consul, limits, limits.max_body_size),
           timer(io) {}
     const std::string name, key;
-    AgentClient client;  // the lease's, one at a time
+    AgentClient client;  // for the lease, one request at a time
     asio::steady_timer timer;
   };
   void on(const fleet::LeaseEffect& e);
@@ -93,9 +93,9 @@
   asio::steady_timer sweep_timer_;
   AgentClient publish_client_, list_client_;  // writes and reads of the shared list
   asio::steady_timer refresh_timer_;
-  std::shared_ptr<DrainAgent> drain_;        // null where no slot is sought
-  std::shared_ptr<ReleaseAgent> release_;    // where there are no releases
-  std::shared_ptr<EjectionAgent> ejection_;  // where there is no cap on endpoints out
+  std::shared_ptr<DrainAgent> drain_;        // null without a disruption budget
+  std::shared_ptr<ReleaseAgent> release_;    // null without staged releases
+  std::shared_ptr<EjectionAgent> ejection_;  // null without an ejection cap
 };
 
 }  // namespace fennellane
--- a/src/consul/fleet_agent_base.hpp
+++ b/src/consul/fleet_agent_base.hpp
@@ -1,5 +1,5 @@
-// What all that carries out the fleet's decisions on Consul has in common: coroutines that keep it alive,
-// timers, and answers told to the reducer in a turn of their own.
+// Common base of the classes that execute the fleet's effects against Consul: coroutines that keep the object
+// alive, timers, and inputs posted to the reducer.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -22,26 +22,26 @@
   using OnInput = std::function<void(fleet::Input)>;
 
  protected:
-  FleetAgentBase(asio::io_context& io, OnInput tell) : io_(io), on_input_(std::move(tell)) {}
+  FleetAgentBase(asio::io_context& io, OnInput on_input) : io_(io), on_input_(std::move(on_input)) {}
   ~FleetAgentBase() = default;
 
-  // The lambda is the coroutine's own, and keeps this object until it has returned.
+  // The coroutine owns the lambda, which keeps this object alive until it has returned.
   template <class Run>
   void spawn(Run run) {
     asio::co_spawn(
         io_, [self = shared_from_this(), run]() -> asio::awaitable<void> { co_await run(); }, rethrow);
   }
-  // In a turn of its own: an answer may be there before the effects of this input have been carried out.
+  // Posted rather than called: an answer may arrive before all effects of the present input are executed.
   void post_input(fleet::Input input) {
-    asio::post(io_, [self = shared_from_this(), heard = std::move(input)]() mutable {
-      self->on_input_(std::move(heard));
+    asio::post(io_, [self = shared_from_this(), input = std::move(input)]() mutable {
+      self->on_input_(std::move(input));
     });
   }
-  void set_timer(asio::steady_timer& timer, Time at, std::function<fleet::Input()> due) {
+  void set_timer(asio::steady_timer& timer, Time at, std::function<fleet::Input()> make_input) {
     timer.expires_at(to_time_point(at));
-    timer.async_wait([weak = weak_from_this(), what = std::move(due)](asio::error_code error) {
+    timer.async_wait([weak = weak_from_this(), make_input = std::move(make_input)](asio::error_code error) {
       const auto self = weak.lock();
-      if (!error && self) self->on_input_(what());
+      if (!error && self) self->on_input_(make_input());
     });
   }
 
--- a/src/consul/fleet_values.cpp
+++ b/src/consul/fleet_values.cpp
@@ -54,7 +54,7 @@
 
 std::optional<drain::Budget> read_budget(const std::string& text) {
   drain::Budget budget;
-  const bool good = with_json(text, [&budget](const Json::Value& v) {
+  const bool ok = with_json(text, [&budget](const Json::Value& v) {
     const Json::Value& limit = v["Limit"];
     budget.cap = {limit["most"].asUInt(), limit["per_zone"].asUInt(), limit["percent"].asUInt()};
     for (const std::string& session : v["Holders"].getMemberNames()) {
@@ -63,7 +63,7 @@
     }
     return limit.isObject() && budget.cap.percent <= 100;
   });
-  return good ? std::optional(std::move(budget)) : std::nullopt;
+  return ok ? std::optional(std::move(budget)) : std::nullopt;
 }
 
 bool read_semaphore(const std::string& body, const std::string& prefix, drain::BudgetSeen& seen) {
@@ -75,7 +75,7 @@
       if (name == ".lock") {
         seen.index = entry["ModifyIndex"].asUInt64();
         seen.budget = read_budget(decoded_value(entry));
-        if (!seen.budget) return false;  // no slot is taken of a budget that can't be read
+        if (!seen.budget) return false;  // no slot is acquired from an unreadable budget
       } else if (entry.get("Session", "").asString() == name && !name.empty()) {
         seen.contenders.push_back({name, entry["CreateIndex"].asUInt64()});
       }
@@ -87,13 +87,13 @@
 bool read_census(const std::string& body, const std::string& service, drain::Census& census) {
   return with_json(body, [&](const Json::Value& v) {
     if (!v.isArray()) return false;
-    for (const Json::Value& each : v) {
-      const Json::Value& registered = each["Service"];
+    for (const Json::Value& entry : v) {
+      const Json::Value& registered = entry["Service"];
       const std::string id = registered["ID"].asString();
       std::string relay = registered["Meta"].get("relay", "").asString();
       if (relay.empty()) relay = id.starts_with(service + "-") ? id.substr(service.size() + 1) : id;
       ++census.relays;
-      const Json::Value& checks = each["Checks"];
+      const Json::Value& checks = entry["Checks"];
       const bool down = std::any_of(checks.begin(), checks.end(), [](const Json::Value& check) {
         return check["Status"].asString() == "critical";
       });
@@ -121,7 +121,7 @@
 
 std::optional<release::State> read_state(const std::string& text) {
   release::State s;
-  const bool good = with_json(text, [&s](const Json::Value& v) {
+  const bool ok = with_json(text, [&s](const Json::Value& v) {
     s.id = v["id"].asString();
     s.from = v["from"].asString();
     s.to = v["to"].asString();
@@ -133,11 +133,11 @@
     s.reason = v["why"].asString();
     s.base = sums_of(v["base"]);
     if (phase) s.phase = *phase;
-    // Guards the relay against starting a program that lies elsewhere.
+    // Build names are plain file names, so that the relay cannot be made to start a program elsewhere.
     return phase && !s.id.empty() && is_plain_name(s.from) && is_plain_name(s.to) &&
            s.waves.size() <= kMaxWaves && release::steps_problem(s.steps).empty();
   });
-  return good ? std::optional(std::move(s)) : std::nullopt;
+  return ok ? std::optional(std::move(s)) : std::nullopt;
 }
 
 std::string report_json(const release::Report& r) {
@@ -154,16 +154,16 @@
 }
 
 bool read_reports(const std::string& body, std::vector<release::Report>& reports) {
-  return with_json(body, [&reports](const Json::Value& all) {
-    if (!all.isArray()) return false;
-    for (const Json::Value& entry : all) {
+  return with_json(body, [&reports](const Json::Value& json) {
+    if (!json.isArray()) return false;
+    for (const Json::Value& entry : json) {
       release::Report r;
-      const bool good = with_json(decoded_value(entry), [&r](const Json::Value& v) {
+      const bool ok = with_json(decoded_value(entry), [&r](const Json::Value& v) {
         r = {v["relay"].asString(), v["zone"].asString(),    v["release"].asString(), v["build"].asString(),
              v["beat"].asUInt64(),  v["trouble"].asString(), v["waits"].asString(),   sums_of(v["sums"])};
         return !r.relay.empty();
       });
-      if (good) reports.push_back(std::move(r));
+      if (ok) reports.push_back(std::move(r));
     }
     return true;
   });
--- a/src/consul/fleet_values.hpp
+++ b/src/consul/fleet_values.hpp
@@ -1,4 +1,4 @@
-// The values that drains and releases keep in Consul's store, as JSON and back.
+// JSON forms of the values that drains and releases keep in Consul's KV store.
 #pragma once
 
 #include <json/json.h>
@@ -14,15 +14,15 @@
 
 std::string budget_json(const drain::Budget& budget);
 std::optional<drain::Budget> read_budget(const std::string& text);
-// Of GET /v1/kv/PREFIX/budget/?recurse; false where it can't be read.
+// From GET /v1/kv/PREFIX/budget/?recurse; false if unreadable.
 bool read_semaphore(const std::string& body, const std::string& prefix, drain::BudgetSeen& seen);
-// Of GET /v1/health/service/NAME: the relays' own registrations, each known by its Meta or its ID.
+// From GET /v1/health/service/NAME: the relays' registrations, each identified by its Meta or its ID.
 bool read_census(const std::string& body, const std::string& service, drain::Census& census);
 
 std::string state_json(const release::State& state);
 std::optional<release::State> read_state(const std::string& text);
 std::string report_json(const release::Report& report);
-// Of GET /v1/kv/PREFIX/release/relay/?recurse; false where it can't be read. One that can't is left out.
+// From GET /v1/kv/PREFIX/release/relay/?recurse; false if unreadable. Single unreadable reports are skipped.
 bool read_reports(const std::string& body, std::vector<release::Report>& reports);
 
 }  // namespace fennellane
--- a/src/consul/key_watch.cpp
+++ b/src/consul/key_watch.cpp
@@ -9,18 +9,18 @@
 namespace fennellane {
 
 KeyWatch::KeyWatch(asio::io_context& io, const ConsulSettings& consul, const Limits& limits,
-                   Counters& counters, Log& log, std::string key, ReadMode what, Time call, Time wait,
-                   OnAnswer take)
+                   Counters& counters, Log& log, std::string key, ReadMode mode, Time call, Time wait,
+                   OnAnswer on_answer)
     : io_(io),
       limits_(limits),
       counters_(counters),
       key_(std::move(key)),
-      mode_(what),
+      mode_(mode),
       call_(call),
       wait_(wait),
-      on_answer_(std::move(take)),
+      on_answer_(std::move(on_answer)),
       client_(io, consul, limits,
-              what == ReadMode::subtree ? limits.max_fleet_answer : limits.max_consul_value),
+              mode == ReadMode::subtree ? limits.max_fleet_answer : limits.max_consul_value),
       retry_timer_(io) {
   client_.report_strays(counters.agent_strays, log);
 }
@@ -37,27 +37,28 @@
 }
 
 asio::awaitable<void> KeyWatch::run() {
-  std::uint64_t index = 0, newest = 0;
+  std::uint64_t index = 0, last_index = 0;
   Time backoff = limits_.backoff_min;
   const std::string flag = mode_ == ReadMode::subtree ? "?recurse&"
                            : mode_ == ReadMode::value ? "?raw&"
                                                       : "?";
   while (!stopped_) {
-    const bool waits = index > 0;
-    const std::string query = waits ? "index=" + std::to_string(index) + "&wait=" + milliseconds_text(wait_)
-                                    : std::string("consistent");
-    // An agent adds up to a 16th to the time it was asked to wait.
-    const Time limit = call_ + (waits ? wait_ + wait_ / 16 : Time(0));
+    const bool blocking = index > 0;
+    const std::string query = blocking
+                                  ? "index=" + std::to_string(index) + "&wait=" + milliseconds_text(wait_)
+                                  : std::string("consistent");
+    // An agent adds up to 1/16 to the requested wait.
+    const Time limit = call_ + (blocking ? wait_ + wait_ / 16 : Time(0));
     ++counters_.lease_reads;
     const AgentAnswer answer = co_await client_.request("GET", "/v1/kv/" + key_ + flag + query, "", limit);
     if (stopped_) break;
     const bool answered = answer.index > 0 && (answer.status == 200 || answer.status == 404);
-    // An index that goes backwards is asked for once more, from the leader, before it is believed.
-    if (answered && waits && answer.index < index) {
+    // If the index decreases, the read is repeated at the leader before the answer is accepted.
+    if (answered && blocking && answer.index < index) {
       index = 0;
       continue;
     }
-    if (!answered || !on_answer_(answer, answer.index < newest)) {
+    if (!answered || !on_answer_(answer, answer.index < last_index)) {
       index = 0;
       client_.close();
       retry_timer_.expires_after(backoff);
@@ -67,7 +68,7 @@
       continue;
     }
     backoff = limits_.backoff_min;
-    index = newest = answer.index;
+    index = last_index = answer.index;
   }
 }
 
--- a/src/consul/key_watch.hpp
+++ b/src/consul/key_watch.hpp
@@ -1,5 +1,5 @@
-// A blocking read of a key, or of all below a prefix, again and again. After any trouble it begins without an
-// index, and from the leader.
+// Repeated blocking reads of a key or of all keys below a prefix. After any error it restarts without an
+// index and with a consistent read.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -17,18 +17,18 @@
 class KeyWatch : public std::enable_shared_from_this<KeyWatch> {
  public:
   enum class ReadMode {
-    key,
-    value,
-    subtree
-  };  // with what Consul says of it; the value alone; all below a prefix
-  // False: the answer is none that can be read. `afresh`: Consul's index has gone backwards.
-  using OnAnswer = std::function<bool(const AgentAnswer&, bool afresh)>;
-  // A read waits for a change for `wait` at most, and every other call for `call`.
+    key,     // the entry with its metadata
+    value,   // the raw value
+    subtree  // all entries below a prefix
+  };
+  // Returns false if the answer is unreadable. `index_reset`: Consul's index has decreased.
+  using OnAnswer = std::function<bool(const AgentAnswer&, bool index_reset)>;
+  // `wait`: longest wait of a blocking read for a change; `call`: time limit of a request beyond that wait.
   KeyWatch(asio::io_context& io, const ConsulSettings& consul, const Limits& limits, Counters& counters,
-           Log& log, std::string key, ReadMode what, Time call, Time wait, OnAnswer take);
+           Log& log, std::string key, ReadMode mode, Time call, Time wait, OnAnswer on_answer);
 
   void start();
-  void stop();  // no answer is taken after it
+  void stop();  // no answer is passed on after it
 
  private:
   asio::awaitable<void> run();
--- a/src/consul/list_store.cpp
+++ b/src/consul/list_store.cpp
@@ -41,13 +41,13 @@
   return packed;
 }
 
-// Empty for what is damaged.
+// Empty if the data is damaged.
 std::string decompress(const std::string& packed) {
   const unsigned long long size = ZSTD_getFrameContentSize(packed.data(), packed.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxTextBytes) return "";
   std::string text(static_cast<std::size_t>(size), '\0');
-  const std::size_t got = ZSTD_decompress(text.data(), text.size(), packed.data(), packed.size());
-  return ZSTD_isError(got) || got != text.size() ? "" : text;
+  const std::size_t unpacked_size = ZSTD_decompress(text.data(), text.size(), packed.data(), packed.size());
+  return ZSTD_isError(unpacked_size) || unpacked_size != text.size() ? "" : text;
 }
 
 Json::Value parse_line(const std::string& line) {
@@ -60,8 +60,8 @@
 
 }  // namespace
 
-ListStore::ListStore(const std::string& folder, std::uint64_t most_bytes)
-    : folder_(folder), max_bytes_(most_bytes) {}
+ListStore::ListStore(const std::string& folder, std::uint64_t max_bytes)
+    : folder_(folder), max_bytes_(max_bytes) {}
 
 std::string ListStore::save(const Membership& membership, const ConsulSettings& settings,
                             const NamePositions& names) {
@@ -84,19 +84,19 @@
     text += Json::writeString(builder, line) + "\n";
   });
   const std::string packed = compress(text);
-  if (packed.empty()) return "cannot compress the list";
+  if (packed.empty()) return "cannot compress the host list";
   if (packed.size() > max_bytes_) {
-    return "the list takes " + std::to_string(packed.size()) + " bytes and may take " +
-           std::to_string(max_bytes_) + ": it is not kept";
+    return "the host list is not saved: it has " + std::to_string(packed.size()) + " bytes, the limit is " +
+           std::to_string(max_bytes_);
   }
   if (!replace_file(path(kFileName), path(kTemporaryFileName), packed))
-    return errno_message("cannot keep the list");
+    return errno_message("cannot save the host list");
   return "";
 }
 
 std::string ListStore::load(const ConsulSettings& settings, const NamePositions& names,
-                            const OnInstance& take) const {
-  ::unlink(path(kTemporaryFileName).c_str());  // of a crash
+                            const OnInstance& on_instance) const {
+  ::unlink(path(kTemporaryFileName).c_str());  // left by a crash
   std::ifstream file(path(kFileName), std::ios::binary);
   if (!file) return "";
   std::ostringstream packed;
@@ -104,7 +104,7 @@
   std::istringstream text(decompress(packed.str()));
   std::string line;
   if (!std::getline(text, line) || line != kFirstLine) {
-    return "the list of an earlier life cannot be read and is left aside";
+    return "the saved host list is unreadable and is ignored";
   }
   try {
     while (std::getline(text, line)) {
@@ -124,10 +124,10 @@
       i.weight_passing = in["passing"].asDouble();
       i.weight_warning = in["warning"].asDouble();
       i.health = static_cast<HostHealth>(known - std::begin(kHealthNames));
-      take(static_cast<std::uint32_t>(service - settings.services.begin()), i);
+      on_instance(static_cast<std::uint32_t>(service - settings.services.begin()), i);
     }
   } catch (const std::exception& e) {
-    return std::string("the list of an earlier life is read in part: ") + e.what();
+    return std::string("the saved host list is only partly readable: ") + e.what();
   }
   return "";
 }
--- a/src/consul/list_store.hpp
+++ b/src/consul/list_store.hpp
@@ -1,6 +1,6 @@
-// The catalogue as it was last known, in one small file that outlasts the process: JSON lines, compressed
-// with zstd, whose checksum tells a damaged file. Written beside and renamed, so that a crash leaves a whole
-// one.
+// The catalogue as last known, saved in one small file for the next process: JSON lines, compressed with
+// zstd, whose checksum detects a damaged file. The file is replaced by renaming, so that a crash leaves a
+// complete one.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,16 @@
 
 class ListStore {
  public:
-  // Two files of `most_bytes` may stand side by side; 0 = nothing is kept.
-  ListStore(const std::string& folder, std::uint64_t most_bytes);
+  // Uses up to twice `max_bytes` on disk while replacing the file; 0 = nothing is saved.
+  ListStore(const std::string& folder, std::uint64_t max_bytes);
 
-  // Returns what is wrong, or nothing. A list that does not fit is not written, and the file before stays.
+  // Returns an error, or an empty text. A list that exceeds the limit is not written; the old file stays.
   std::string save(const Membership& membership, const ConsulSettings& settings, const NamePositions& names);
-  // Hands on what the file holds of the services that the settings name. Returns what is wrong, or nothing; a
-  // file that cannot be read is as none.
+  // Passes on the saved hosts of the services in the settings. Returns an error, or an empty text; an
+  // unreadable file counts as missing.
   using OnInstance = std::function<void(std::uint32_t service, const Instance&)>;
-  std::string load(const ConsulSettings& settings, const NamePositions& names, const OnInstance& take) const;
+  std::string load(const ConsulSettings& settings, const NamePositions& names,
+                   const OnInstance& on_instance) const;
 
  private:
   std::string path(const char* name) const { return folder_ + "/" + name; }
--- a/src/consul/owners.hpp
+++ b/src/consul/owners.hpp
@@ -1,4 +1,4 @@
-// Who holds which role of the fleet, asked of Consul: for the command line.
+// The `owners` command: reads from Consul which relay holds which role of the fleet.
 #pragma once
 
 #include <ostream>
@@ -9,9 +9,9 @@
 
 namespace fennellane {
 
-// One line a role: its name, the relay that holds it, the session and the fencing token. False where Consul
-// has not said; `trouble` says why.
+// Prints one line per role: its name, the relay that holds it, the fencing token and the session. False, with
+// `error` set, if Consul does not answer.
 bool print_owners(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                  std::ostream& out, std::string& trouble);
+                  std::ostream& out, std::string& error);
 
 }  // namespace fennellane
--- a/src/consul/registration.cpp
+++ b/src/consul/registration.cpp
@@ -34,7 +34,7 @@
       counters_(counters),
       log_(log),
       client_(io, settings_.agent, limits, limits.max_body_size),
-      pause_(io) {
+      sleep_timer_(io) {
   client_.enable_stray_reporting(counters.agent_strays, log);
 }
 
@@ -46,21 +46,21 @@
 void Registration::set_ready() {
   if (ready_) return;
   ready_ = true;
-  pause_.cancel();
+  sleep_timer_.cancel();
 }
 
 void Registration::leave(bool returns) {
   if (leaving_) return;
   leaving_ = true;
   returns_ = returns;
-  pause_.cancel();
+  sleep_timer_.cancel();
 }
 
 asio::awaitable<void> Registration::sleep_for(Time span) {
   if (leaving_) co_return;
-  pause_.expires_after(span);
+  sleep_timer_.expires_after(span);
   asio::error_code cut_short;
-  co_await pause_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
+  co_await sleep_timer_.async_wait(asio::redirect_error(asio::use_awaitable, cut_short));
 }
 
 asio::awaitable<unsigned> Registration::put(std::string target, std::string body) {
@@ -79,7 +79,7 @@
 }
 
 asio::awaitable<void> Registration::run() {
-  const Time beat = settings_.registration->ttl / 3;
+  const Time heartbeat = settings_.registration->ttl / 3;
   Time backoff = limits_.backoff_min;
   while (!leaving_) {
     unsigned status = 0;
@@ -90,33 +90,34 @@
     if (registered_ && !leaving_) {
       status =
           co_await put(std::string("/v1/agent/check/") + (ready_ ? "pass" : "fail") + "/service:" + id_, "");
-      // An agent that was restarted may know nothing of it: then it is registered anew.
+      // A restarted agent may have lost the registration: it is then registered again.
       if (status != 200 && status != 0) registered_ = false;
     }
     if (leaving_) break;
     if (status == 200) {
-      if (failing_) log_("consul", "registration: in place again");
+      if (failing_) log_("consul", "registration: working again");
       failing_ = false;
       backoff = limits_.backoff_min;
       ++counters_.consul_heartbeats;
       const bool was_ready = ready_;
-      co_await sleep_for(beat);
+      co_await sleep_for(heartbeat);
       if (was_ready == ready_) continue;
     } else {
-      if (!failing_) log_("consul", "registration: status " + std::to_string(status) + "; it is tried again");
+      if (!failing_) log_("consul", "registration: status " + std::to_string(status) + "; retrying");
       failing_ = true;
       co_await sleep_for(backoff);
       backoff = std::min(backoff * 2, limits_.backoff_max);
     }
   }
   if (registered_) {
-    // Named first: GCC 12 destroys such a text twice where it is chosen in the call that is awaited.
+    // A named variable: GCC 12 destroys the temporary string twice if the conditional expression stands in
+    // the awaited call.
     const std::string target =
         returns_ ? "/v1/agent/check/fail/service:" + id_ : "/v1/agent/service/deregister/" + id_;
-    const std::string what = returns_ ? "shown as out" : "given back";
+    const std::string action = returns_ ? "marked critical" : "deregistered";
     const unsigned status = co_await put(target, "");
-    log_("consul",
-         "registration: " + (status == 200 ? what : "not " + what + ", status " + std::to_string(status)));
+    log_("consul", "registration: " +
+                       (status == 200 ? action : "not " + action + ", status " + std::to_string(status)));
   }
   client_.close();
 }
--- a/src/consul/registration.hpp
+++ b/src/consul/registration.hpp
@@ -1,5 +1,5 @@
-// The relay as a service of its own in Consul: registered, with a TTL check that passes while it is ready,
-// and given back at the end. A failure of it is logged and tried again, and harms nothing else.
+// Registers the relay itself as a service in Consul, with a TTL check that passes while it is ready, and
+// deregisters it at the end. Failures are logged and retried, and have no other effect.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -21,22 +21,22 @@
 
 class Registration : public std::enable_shared_from_this<Registration> {
  public:
-  // `settings` has a registration; `id` is unique on its agent.
+  // `settings` has a registration; `id` is unique on the agent.
   Registration(asio::io_context& io, ConsulSettings settings, std::string id, const Limits& limits,
                Counters& counters, Log& log);
 
   void start();
   void set_ready();
-  // Another process has registered the service, and this one keeps it. Before `start`.
+  // Takes over the registration made by another process. Before `start`.
   void adopt() { registered_ = true; }
   bool registered() const { return registered_; }
-  // Takes the service out of the catalogue, once, and ends. Where the relay `returns` soon, the service stays
-  // and its check fails: nobody is sent to it, and the disruption budget still counts it.
+  // Deregisters the service and ends; later calls have no effect. If the relay `returns` soon, the service
+  // stays registered with a failing check: it gets no traffic, and the disruption budget still counts it.
   void leave(bool returns = false);
 
  private:
   asio::awaitable<void> run();
-  asio::awaitable<unsigned> put(std::string target, std::string body);  // the answer's status, or 0
+  asio::awaitable<unsigned> put(std::string target, std::string body);  // status of the answer, or 0
   asio::awaitable<void> sleep_for(Time span);
 
   asio::io_context& io_;
@@ -46,12 +46,12 @@
   Counters& counters_;
   Log& log_;
   HttpClient client_;
-  asio::steady_timer pause_;
+  asio::steady_timer sleep_timer_;
   bool registered_ = false;
   bool ready_ = false;
   bool leaving_ = false;
   bool returns_ = false;
-  bool failing_ = false;  // and the log has heard so
+  bool failing_ = false;  // and this was logged
 };
 
 }  // namespace fennellane
--- a/src/consul/release_agent.cpp
+++ b/src/consul/release_agent.cpp
@@ -10,17 +10,17 @@
           c.deferred + c.undeliverable, c.late};
 }
 
-std::string state_transaction_json(const FleetSettings& settings, const release::WriteState& step) {
+std::string state_transaction_json(const FleetSettings& settings, const release::WriteState& command) {
   Json::Value operations(Json::arrayValue);
-  operations.append(session_check_operation(role_key(settings, fleet::kDrainRole), step.session));
-  operations.append(cas_operation(release_key(settings), step.index, state_json(step.state)));
-  if (step.clears_reports) operations.append(delete_tree_operation(reports_prefix(settings)));
+  operations.append(session_check_operation(role_key(settings, fleet::kDrainRole), command.session));
+  operations.append(cas_operation(release_key(settings), command.index, state_json(command.state)));
+  if (command.clears_reports) operations.append(delete_tree_operation(reports_prefix(settings)));
   return json_text(operations);
 }
 
 ReleaseAgent::ReleaseAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-                           const Limits& limits, Counters& counters, Log& log, OnInput tell)
-    : FleetAgentBase(io, std::move(tell)),
+                           const Limits& limits, Counters& counters, Log& log, OnInput on_input)
+    : FleetAgentBase(io, std::move(on_input)),
       consul_(consul),
       settings_(settings),
       limits_(limits),
@@ -35,21 +35,22 @@
 }
 
 void ReleaseAgent::start() {
-  const auto take = [this](const AgentAnswer& answer, bool) {
+  const auto on_answer = [this](const AgentAnswer& answer, bool) {
     release::StateSeen seen;
     if (answer.status == 200) {
       std::string text;
       if (!read_entry(answer.body, text, seen.index)) return false;
       seen.state = read_state(text);
       if (!seen.state && unreadable_state_ != text)
-        log_("release", "the state in the store can't be read: no release");
+        log_("release", "the stored release state is unreadable: treated as no release");
       unreadable_state_ = seen.state ? "" : text;
     }
     post_input(fleet::ReleaseStateInput{std::move(seen)});
     return true;
   };
   std::make_shared<KeyWatch>(io_, consul_, limits_, counters_, log_, release_key(settings_),
-                             KeyWatch::ReadMode::key, settings_.timing.call, settings_.blocking_wait, take)
+                             KeyWatch::ReadMode::key, settings_.timing.call, settings_.blocking_wait,
+                             on_answer)
       ->start();
 }
 
@@ -60,7 +61,7 @@
   std::visit([this](const auto& e) { on(e); }, effect);
 }
 
-// One that is lost is followed by the next: nothing waits for it.
+// A lost report is superseded by the next one; nothing waits for the answer.
 void ReleaseAgent::on(const release::WriteReport& e) {
   spawn([this, e]() -> asio::awaitable<void> {
     co_await report_client_.request("PUT", "/v1/kv/" + reports_prefix(settings_) + e.report.relay,
--- a/src/consul/release_agent.hpp
+++ b/src/consul/release_agent.hpp
@@ -1,5 +1,5 @@
-// Carries out on Consul what staged releases ask for: the watch of the state, a relay's reports, and the
-// coordinator's reads and fenced writes. Every answer goes back as an input.
+// Executes the effects of staged releases against Consul: the watch of the state, this relay's reports, and
+// the coordinator's reads and fenced writes. Every answer is posted as an input.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,17 +14,17 @@
 namespace fennellane {
 
 release::Sums sums_of(const Counters& counters);
-// The coordinator's step: the role's lock is this session's, and the state is as it was read.
-std::string state_transaction_json(const FleetSettings& settings, const release::WriteState& step);
+// The coordinator's write, fenced by the role's lock; fails if the state has changed since it was read.
+std::string state_transaction_json(const FleetSettings& settings, const release::WriteState& command);
 
 class ReleaseAgent : public FleetAgentBase {
  public:
-  // `settings` has a section release; the references outlive it.
+  // `settings` has a section release; the references must outlive this object.
   ReleaseAgent(asio::io_context& io, const ConsulSettings& consul, const FleetSettings& settings,
-               const Limits& limits, Counters& counters, Log& log, OnInput tell);
+               const Limits& limits, Counters& counters, Log& log, OnInput on_input);
 
   void start();
-  // Of all but Move.
+  // All effects but Move, AskSlot and LeaveSlot.
   void execute(const release::MoverEffect& effect);
   void execute(const release::CoordinatorEffect& effect);
 
@@ -35,7 +35,7 @@
   void on(const release::WriteState& e);
   void on(const release::SetCheckTimer& e);
   void on(const release::CoordinatorLogMessage& e) { log_("release", e.text); }
-  // What ends elsewhere: at the slot, and at the relay.
+  // Handled by the slot and by the relay.
   void on(const release::AskSlot&) {}
   void on(const release::LeaveSlot&) {}
   void on(const release::Move&) {}
@@ -45,9 +45,9 @@
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  AgentClient report_client_, coordinator_client_;  // this relay's reports; the coordinator's calls
+  AgentClient report_client_, coordinator_client_;  // this relay's reports; the coordinator's requests
   asio::steady_timer report_timer_, check_timer_;
-  std::string unreadable_state_;  // the state that was last said to be none
+  std::string unreadable_state_;  // the unreadable state that was logged last
 };
 
 }  // namespace fennellane
--- a/src/consul/release_command.cpp
+++ b/src/consul/release_command.cpp
@@ -53,84 +53,84 @@
 struct StateRead {
   std::optional<release::State> state;
   std::uint64_t index = 0;
-  std::string trouble;
+  std::string error;
 };
 
-asio::awaitable<StateRead> read_release_state(AgentClient& call, const FleetSettings& settings) {
+asio::awaitable<StateRead> read_release_state(AgentClient& client, const FleetSettings& settings) {
   StateRead read;
-  const AgentAnswer answer = co_await call.request("GET", "/v1/kv/" + release_key(settings) + "?consistent",
-                                                   "", settings.timing.call);
+  const AgentAnswer answer = co_await client.request("GET", "/v1/kv/" + release_key(settings) + "?consistent",
+                                                     "", settings.timing.call);
   if (answer.status == 404) co_return read;
   if (answer.status != 200) {
-    read.trouble = no_answer_message(answer);
+    read.error = no_answer_message(answer);
     co_return read;
   }
   std::string text;
   if (read_entry(answer.body, text, read.index)) read.state = read_state(text);
-  if (!read.state) read.trouble = "the state in the store can't be read";
+  if (!read.state) read.error = "the stored release state is unreadable";
   co_return read;
 }
 
 }  // namespace
 
-release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& order,
-                          const std::string& id, std::string& trouble) {
+release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& request,
+                          const std::string& id, std::string& error) {
   using release::Phase;
   release::State next;
-  if (order.action == Action::start) {
+  if (request.action == Action::start) {
     if (before && !release::is_over(before->phase)) {
-      trouble = "release " + before->id + " is under way (" + release::name_of(before->phase) + ")";
+      error = "release " + before->id + " is under way (" + release::name_of(before->phase) + ")";
       return next;
     }
     next.id = id;
-    next.from = order.from;
-    next.to = order.to;
-    next.steps = order.steps;
-    next.auto_back = order.auto_back;
+    next.from = request.from;
+    next.to = request.to;
+    next.steps = request.steps;
+    next.auto_back = request.auto_back;
     if (!is_plain_name(next.from) || !is_plain_name(next.to) || next.from == next.to)
-      trouble = "from and to are two names of builds: letters, digits, '-', '_' and '.'";
-    if (const std::string wrong = release::steps_problem(next.steps); trouble.empty() && !wrong.empty())
-      trouble = wrong;
+      error = "from and to are two names of builds: letters, digits, '-', '_' and '.'";
+    if (const std::string problem = release::steps_problem(next.steps); error.empty() && !problem.empty())
+      error = problem;
     return next;
   }
   if (!before) {
-    trouble = "there has been no release";
+    error = "there has been no release";
     return next;
   }
   next = *before;
   const Phase phase = before->phase;
-  bool can = false;
-  if (order.action == Action::halt) {
-    can = !release::is_over(phase) && phase != Phase::halted;
+  bool possible = false;
+  if (request.action == Action::halt) {
+    possible = !release::is_over(phase) && phase != Phase::halted;
     next.phase = Phase::halted;
     next.reason = "by an operator";
-  } else if (order.action == Action::resume) {
-    can = phase == Phase::halted;
+  } else if (request.action == Action::resume) {
+    possible = phase == Phase::halted;
     next.phase = next.waves.empty() ? Phase::gathering : Phase::rolling;
     next.reason.clear();
-  } else if (order.action == Action::back) {
-    can = phase != Phase::back && phase != Phase::returned;
+  } else if (request.action == Action::back) {
+    possible = phase != Phase::back && phase != Phase::returned;
     next.phase = Phase::back;
     next.reason = "by an operator";
   }
-  if (!can) trouble = "release " + before->id + " is " + release::name_of(phase);
+  if (!possible) error = "release " + before->id + " is " + release::name_of(phase);
   return next;
 }
 
 bool show_budget(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                 const std::optional<drain::Cap>& cap, std::ostream& out, std::string& trouble) {
+                 const std::optional<drain::Cap>& cap, std::ostream& out, std::string& error) {
   return run_agent_query(
-      consul, limits, limits.max_consul_value * 2, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
-        const std::string below = "/v1/kv/" + budget_prefix(settings) + "?recurse&consistent";
-        constexpr int kMaxAttempts = 20;  // against relays that take slots meanwhile
+      consul, limits, limits.max_consul_value * 2, error, [&](AgentClient& client) -> asio::awaitable<void> {
+        const std::string target = "/v1/kv/" + budget_prefix(settings) + "?recurse&consistent";
+        constexpr int kMaxAttempts = 20;  // relays may acquire slots between read and write
         for (int i = 0; i < kMaxAttempts; ++i) {
-          const AgentAnswer answer = co_await call.request("GET", below, "", settings.timing.call);
+          const AgentAnswer answer = co_await client.request("GET", target, "", settings.timing.call);
           drain::BudgetSeen seen;
           const bool read =
               answer.status == 404 ||
               (answer.status == 200 && read_semaphore(answer.body, budget_prefix(settings), seen));
           if (!read) {
-            trouble = no_answer_message(answer);
+            error = no_answer_message(answer);
             co_return;
           }
           if (!cap || (seen.budget && seen.budget->cap == *cap)) {
@@ -139,47 +139,47 @@
           }
           drain::Budget next = seen.budget.value_or(drain::Budget{});
           next.cap = *cap;
-          const AgentAnswer set = co_await call.request(
+          const AgentAnswer set = co_await client.request(
               "PUT", "/v1/kv/" + budget_key(settings) + "?cas=" + std::to_string(seen.index),
               budget_json(next), settings.timing.call);
           if (set.status != 200) {
-            trouble = no_answer_message(set);
+            error = no_answer_message(set);
             co_return;
           }
         }
-        trouble = "the budget has changed each time that it was to be set";
+        error = "the budget was changed by others at each attempt to set it";
       });
 }
 
 bool run_release_command(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                         const ReleaseRequest& order, std::ostream& out, std::string& trouble) {
+                         const ReleaseRequest& request, std::ostream& out, std::string& error) {
   return run_agent_query(
-      consul, limits, limits.max_consul_value * 2, trouble, [&](AgentClient& call) -> asio::awaitable<void> {
-        StateRead before = co_await read_release_state(call, settings);
-        trouble = before.trouble;
-        if (!trouble.empty()) co_return;
-        if (order.action != Action::status) {
+      consul, limits, limits.max_consul_value * 2, error, [&](AgentClient& client) -> asio::awaitable<void> {
+        StateRead before = co_await read_release_state(client, settings);
+        error = before.error;
+        if (!error.empty()) co_return;
+        if (request.action != Action::status) {
           const auto since_epoch = std::chrono::duration_cast<std::chrono::milliseconds>(
               std::chrono::system_clock::now().time_since_epoch());
-          const std::string id = order.to + "-" + std::to_string(since_epoch.count());
-          const release::State next = next_state(before.state, order, id, trouble);
-          if (!trouble.empty()) co_return;
-          const AgentAnswer set = co_await call.request(
+          const std::string id = request.to + "-" + std::to_string(since_epoch.count());
+          const release::State next = next_state(before.state, request, id, error);
+          if (!error.empty()) co_return;
+          const AgentAnswer set = co_await client.request(
               "PUT", "/v1/kv/" + release_key(settings) + "?cas=" + std::to_string(before.index),
               state_json(next), settings.timing.call);
           if (set.status != 200) {
-            trouble = no_answer_message(set);
+            error = no_answer_message(set);
           } else if (!set.body.starts_with("true")) {
-            trouble = "the release has changed meanwhile: see its status and ask again";
+            error = "the release has changed meanwhile: check its status and try again";
           }
-          if (!trouble.empty()) co_return;
+          if (!error.empty()) co_return;
           before.state = next;
         }
         if (!before.state) {
           out << "there has been no release\n";
           co_return;
         }
-        const AgentAnswer answer = co_await call.request(
+        const AgentAnswer answer = co_await client.request(
             "GET", "/v1/kv/" + reports_prefix(settings) + "?recurse&consistent", "", settings.timing.call);
         std::vector<release::Report> reports;
         if (answer.status == 200) read_reports(answer.body, reports);
--- a/src/consul/release_command.hpp
+++ b/src/consul/release_command.hpp
@@ -1,4 +1,4 @@
-// What operators ask of drains and releases on the command line: one question to Consul each.
+// The operator's commands for drains and releases.
 #pragma once
 
 #include <optional>
@@ -11,11 +11,11 @@
 
 namespace fennellane {
 
-// All return false where it could not be done, and say why in `trouble`.
+// The commands return false on failure, with the reason in `error`.
 
-// Prints the budget and who holds its slots; with `cap`, sets that first.
+// Prints the budget and the holders of its slots; with `cap`, sets that first.
 bool show_budget(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                 const std::optional<drain::Cap>& cap, std::ostream& out, std::string& trouble);
+                 const std::optional<drain::Cap>& cap, std::ostream& out, std::string& error);
 
 struct ReleaseRequest {
   enum class Action { status, start, halt, resume, back } action = Action::status;
@@ -24,10 +24,10 @@
   bool auto_back = true;           // start
 };
 bool run_release_command(const ConsulSettings& consul, const FleetSettings& settings, const Limits& limits,
-                         const ReleaseRequest& order, std::ostream& out, std::string& trouble);
+                         const ReleaseRequest& request, std::ostream& out, std::string& error);
 
-// What an order makes of the state; empty `trouble` where it can be given. `id` is a new release's.
-release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& order,
-                          const std::string& id, std::string& trouble);
+// The state after the command; `error` is set if the command is not possible. `id`: of a new release.
+release::State next_state(const std::optional<release::State>& before, const ReleaseRequest& request,
+                          const std::string& id, std::string& error);
 
 }  // namespace fennellane
--- a/src/fleet/fleet_snapshot.hpp
+++ b/src/fleet/fleet_snapshot.hpp
@@ -1,4 +1,5 @@
-// The fleet's part of the reducer's memory. What the sweep has seen is not in it: its time begins anew.
+// The fleet's part of the reducer's snapshot. The sweep's observations are not part of it: its staleness
+// times start anew.
 #pragma once
 
 #include "drain_snapshot.hpp"
--- a/src/fleet/refresh.cpp
+++ b/src/fleet/refresh.cpp
@@ -11,7 +11,7 @@
   return out;
 }
 
-// The next moment at which something is due: a beat, or its own watch for want of news.
+// Sets the timer for what is due next: a heartbeat, or the fallback to watching discovery directly.
 void Refresh::set_timer(Time now, Effects& out) {
   if (!running_) return;
   if (token_) {
@@ -22,7 +22,7 @@
 }
 
 void Refresh::postpone_fallback(Time now, Time stale_after) {
-  // Guards discovery against all who miss the same beat coming in one moment.
+  // The random offset spreads the load on discovery when all relays miss the same heartbeat.
   fallback_at_ =
       now + stale_after +
       Time(std::uniform_int_distribution<Time::rep>(0, settings_.fallback_spread.count())(random_));
@@ -35,10 +35,10 @@
   out.emplace_back(StartDiscoveryWatch{version_});
 }
 
-void Refresh::on(Time now, const RefreshStarted& begin, Effects& out) {
-  const bool moved = running_ && begin.discovery_moved;
+void Refresh::on(Time now, const RefreshStarted& started, Effects& out) {
+  const bool moved = running_ && started.discovery_moved;
   running_ = true;
-  source_ = begin.source;
+  source_ = started.source;
   if (moved) {
     version_.reset();
     heartbeat_advanced_ = false;
@@ -48,9 +48,9 @@
     start_discovery_watch(out);
     return;
   }
-  if (begin.known && !version_) {
-    version_ = begin.known->version;
-    text_ = begin.known->text;
+  if (started.known && !version_) {
+    version_ = started.known->version;
+    text_ = started.known->text;
     unpublished_ = applied_as_cached_ = true;
   }
   if (token_) start_discovery_watch(out);
@@ -85,45 +85,45 @@
   if (!token_ || publishing_ || !version_ || !discovery_alive(now)) return;
   publishing_ = true;
   next_heartbeat_at_ = now + settings_.heartbeat;
-  Publish p{session_, {*token_, ++heartbeat_count_, *version_, source_}, std::nullopt};
+  Publish command{session_, {*token_, ++heartbeat_count_, *version_, source_}, std::nullopt};
   if (with_list) {
-    p.text = text_;
+    command.text = text_;
     unpublished_ = false;
   }
-  out.emplace_back(std::move(p));
+  out.emplace_back(std::move(command));
 }
 
-void Refresh::on(Time now, const Published& p, Effects& out) {
+void Refresh::on(Time now, const Published& published, Effects& out) {
   publishing_ = false;
-  const bool ours = token_ == p.token;
-  if (p.result != Published::Result::accepted || !ours) unpublished_ = true;
-  // It has changed meanwhile, or the role was taken up anew while an answer to the old one was out.
-  if (unpublished_ && (p.result == Published::Result::accepted || !ours)) publish(now, true, out);
-  if (p.result == Published::Result::refused)
-    out.emplace_back(
-        RefreshLogMessage{"the list was refused, as the role has changed, token " + std::to_string(p.token)});
+  const bool ours = token_ == published.token;
+  if (published.result != Published::Result::accepted || !ours) unpublished_ = true;
+  // The list has changed meanwhile, or the role was acquired again while the previous write was in flight.
+  if (unpublished_ && (published.result == Published::Result::accepted || !ours)) publish(now, true, out);
+  if (published.result == Published::Result::refused)
+    out.emplace_back(RefreshLogMessage{"the list was not written: the role has changed hands, token " +
+                                       std::to_string(published.token)});
 }
 
-void Refresh::on(Time now, const HeartbeatRead& seen, Effects& out) {
+void Refresh::on(Time now, const HeartbeatRead& read, Effects& out) {
   if (!running_) return;
-  if (seen.index_reset) {
+  if (read.index_reset) {
     highest_token_ = 0;
     newest_head_.reset();
   }
-  if (!seen.head) {
-    // Nobody has ever shared a list.
+  if (!read.head) {
+    // No list has been published yet.
     if (!token_ && !version_) start_discovery_watch(out);
     return;
   }
-  const SharedHead& head = *seen.head;
+  const SharedHead& head = *read.head;
   if (head.source != source_ || head.token < highest_token_) return;
   highest_token_ = std::max(highest_token_, head.token);
   const bool newer =
       newest_head_ && (head.token > newest_head_->token || head.heartbeat > newest_head_->heartbeat);
   const bool first = !newest_head_;
   if (newer || first) newest_head_ = head;
-  if (token_) return;  // its own
-  // Of the first beat nobody knows how old it is; one that follows it is fresh.
+  if (token_) return;  // written by this relay
+  // The age of the first heartbeat seen is unknown; a newer one after it is fresh.
   if (newer) {
     heartbeat_advanced_ = true;
     postpone_fallback(now, settings_.stale_after);
@@ -137,7 +137,7 @@
   }
 }
 
-// A list that was maybe old is as discovery has it, now that its beat has gone on.
+// A list applied as possibly outdated is confirmed once its heartbeat advances.
 void Refresh::confirm_list(Effects& out) {
   if (!applied_as_cached_ || watching_discovery_ || !newest_head_ || newest_head_->version != version_)
     return;
@@ -145,32 +145,32 @@
   out.emplace_back(ApplyList{text_, false});
 }
 
-// Its own watch ends where the shared list is as new.
+// Stops watching discovery once the shared list is at least as new.
 void Refresh::follow_shared_list(Effects& out) {
   if (!watching_discovery_ || token_ || !version_ || !newest_head_ || newest_head_->version < *version_)
     return;
   watching_discovery_ = false;
   out.emplace_back(StopDiscoveryWatch{});
-  out.emplace_back(RefreshLogMessage{"follows the shared list, version " + std::to_string(*version_)});
+  out.emplace_back(RefreshLogMessage{"following the shared list, version " + std::to_string(*version_)});
 }
 
-void Refresh::on(Time now, const SharedListRead& seen, Effects& out) {
+void Refresh::on(Time now, const SharedListRead& read, Effects& out) {
   reading_list_ = false;
   if (!running_ || token_) return;
-  const bool usable = seen.ok && seen.head.source == source_ && seen.head.token >= highest_token_ &&
-                      (!version_ || seen.head.version >= *version_);
+  const bool usable = read.ok && read.head.source == source_ && read.head.token >= highest_token_ &&
+                      (!version_ || read.head.version >= *version_);
   if (!usable) return;
-  const bool changed = !version_ || seen.head.version > *version_;
-  version_ = seen.head.version;
-  text_ = seen.text;
+  const bool changed = !version_ || read.head.version > *version_;
+  version_ = read.head.version;
+  text_ = read.text;
   unpublished_ = true;
   const bool cached = !shared_list_fresh(now);
   if (changed) {
     applied_as_cached_ = cached;
-    out.emplace_back(ApplyList{seen.text, cached});
+    out.emplace_back(ApplyList{read.text, cached});
   }
   if (shared_list_fresh(now)) follow_shared_list(out);
-  // The beat may have gone on while the list was read.
+  // The heartbeat may have advanced while the list was read.
   if (newest_head_ && newest_head_->version > *version_) {
     reading_list_ = true;
     out.emplace_back(ReadSharedList{});
@@ -181,7 +181,7 @@
   if (!running_) return;
   if (!token_) {
     if (watching_discovery_ || now < fallback_at_) return;
-    out.emplace_back(RefreshLogMessage{"no news of the shared list: watches discovery itself"});
+    out.emplace_back(RefreshLogMessage{"no heartbeat of the shared list: watching discovery directly"});
     heartbeat_advanced_ = false;
     start_discovery_watch(out);
     return;
@@ -192,7 +192,7 @@
     discovery_ok_at_ = now;
     publish(now, unpublished_, out);
   } else if (now - discovery_ok_at_ >= settings_.discovery_timeout) {
-    out.emplace_back(RefreshLogMessage{"gives the role up, as discovery is not heard"});
+    out.emplace_back(RefreshLogMessage{"gives the role up: no answer from discovery"});
     out.emplace_back(StepDown{});
   }
 }
--- a/src/fleet/roles.cpp
+++ b/src/fleet/roles.cpp
@@ -45,51 +45,52 @@
 
 void Fleet::handle_lease_input(Time now, std::uint32_t role, const lease::Input& input, Effects& out) {
   for (lease::Effect& effect : leases_[role].handle(now, input)) {
-    if (const auto* say = std::get_if<lease::LogMessage>(&effect)) {
-      counts_.acquired += say->event == lease::LogEvent::acquired ? 1 : 0;
-      counts_.renews_missed += say->event == lease::LogEvent::renew_missed ? 1 : 0;
-      counts_.lapsed += say->event == lease::LogEvent::lapsed ? 1 : 0;
-      counts_.lost += say->event == lease::LogEvent::lost ? 1 : 0;
-      counts_.given_up += say->event == lease::LogEvent::resigned ? 1 : 0;
+    if (const auto* message = std::get_if<lease::LogMessage>(&effect)) {
+      counts_.acquired += message->event == lease::LogEvent::acquired ? 1 : 0;
+      counts_.renews_missed += message->event == lease::LogEvent::renew_missed ? 1 : 0;
+      counts_.lapsed += message->event == lease::LogEvent::lapsed ? 1 : 0;
+      counts_.lost += message->event == lease::LogEvent::lost ? 1 : 0;
+      counts_.given_up += message->event == lease::LogEvent::resigned ? 1 : 0;
     }
-    const auto* const act = std::get_if<lease::LeaseActive>(&effect);
-    if (role == sweep_role_ && act) {
+    const auto* const active = std::get_if<lease::LeaseActive>(&effect);
+    if (role == sweep_role_ && active) {
       sweep_->reset();
       schedule_sweep(now, out);
     }
-    Refresh::Effects of_refresh;
-    if (role == refresh_role_ && act)
-      of_refresh = refresh_->activate(now, act->token, leases_[role].session());
+    Refresh::Effects refresh_effects;
+    if (role == refresh_role_ && active)
+      refresh_effects = refresh_->activate(now, active->token, leases_[role].session());
     else if (role == refresh_role_ && std::holds_alternative<lease::LeaseInactive>(effect))
-      of_refresh = refresh_->deactivate(now);
-    std::vector<release::CoordinatorEffect> of_drain;
-    if (role == drain_role_ && act)
-      of_drain = coordinator_->activate(now, act->token, leases_[role].session());
+      refresh_effects = refresh_->deactivate(now);
+    std::vector<release::CoordinatorEffect> coordinator_effects;
+    if (role == drain_role_ && active)
+      coordinator_effects = coordinator_->activate(now, active->token, leases_[role].session());
     if (role == drain_role_ && std::holds_alternative<lease::LeaseInactive>(effect))
       coordinator_->deactivate();
-    std::vector<ejection::ArbiterEffect> of_ejection;
-    if (role == ejection_role_ && act)
-      of_ejection = arbiter_->activate(now, act->token, leases_[role].session());
+    std::vector<ejection::ArbiterEffect> arbiter_effects;
+    if (role == ejection_role_ && active)
+      arbiter_effects = arbiter_->activate(now, active->token, leases_[role].session());
     if (role == ejection_role_ && std::holds_alternative<lease::LeaseInactive>(effect))
       arbiter_->deactivate();
     out.emplace_back(LeaseEffect{role, std::move(effect)});
-    handle_refresh_effects(now, std::move(of_refresh), out);
-    handle_coordinator_effects(now, std::move(of_drain), out);
-    handle_arbiter_effects(now, std::move(of_ejection), out);
+    handle_refresh_effects(now, std::move(refresh_effects), out);
+    handle_coordinator_effects(now, std::move(coordinator_effects), out);
+    handle_arbiter_effects(now, std::move(arbiter_effects), out);
   }
 }
 
 void Fleet::handle_refresh_effects(Time now, Refresh::Effects effects, Effects& out) {
   for (RefreshEffect& effect : effects) {
     if (std::holds_alternative<StepDown>(effect)) {
-      // Sought again at once, but behind those that wait for it.
+      // Requested again at once, but behind the relays that already wait for it.
       handle_lease_input(now, *refresh_role_, lease::ResignRole{}, out);
       handle_lease_input(now, *refresh_role_, lease::AcquireRole{}, out);
       continue;
     }
-    // Guards against a list shared on behalf of a role whose lease has run out unheard.
-    if (const auto* p = std::get_if<Publish>(&effect); p && !leases_[*refresh_role_].may_act(now)) {
-      refresh_->handle(now, Published{p->head.token, Published::Result::unknown});
+    // The lease may have expired without an input that says so: nothing is published then.
+    if (const auto* publish = std::get_if<Publish>(&effect);
+        publish && !leases_[*refresh_role_].may_act(now)) {
+      refresh_->handle(now, Published{publish->head.token, Published::Result::unknown});
       continue;
     }
     counts_.lists_followed += std::holds_alternative<ApplyList>(effect) ? 1 : 0;
@@ -97,20 +98,20 @@
   }
 }
 
-void Fleet::on(Time now, const RefreshRoleInput& heard, Effects& out) {
+void Fleet::on(Time now, const RefreshRoleInput& event, Effects& out) {
   if (!refresh_) return;
-  if (const auto* p = std::get_if<Published>(&heard.input)) {
-    counts_.lists_shared += p->result == Published::Result::accepted ? 1 : 0;
-    counts_.shares_refused += p->result == Published::Result::refused ? 1 : 0;
+  if (const auto* published = std::get_if<Published>(&event.input)) {
+    counts_.lists_shared += published->result == Published::Result::accepted ? 1 : 0;
+    counts_.shares_refused += published->result == Published::Result::refused ? 1 : 0;
   }
-  handle_refresh_effects(now, refresh_->handle(now, heard.input), out);
+  handle_refresh_effects(now, refresh_->handle(now, event.input), out);
 }
 
 // --- Drains and releases
 void Fleet::handle_slot_effects(Time now, std::vector<drain::Effect> effects, Effects& out) {
   for (drain::Effect& effect : effects) {
-    const auto* const go = std::get_if<drain::GoOffline>(&effect);
-    if (go && go->purpose == drain::Purpose::release && mover_) {
+    const auto* const go_offline = std::get_if<drain::GoOffline>(&effect);
+    if (go_offline && go_offline->purpose == drain::Purpose::release && mover_) {
       handle_mover_effects(now, mover_->handle(now, release::SlotGranted{}), out);
     } else {
       out.emplace_back(DrainEffect{std::move(effect)});
@@ -123,11 +124,11 @@
     if (std::holds_alternative<release::AskSlot>(effect)) {
       handle_slot_effects(now, slot_->handle(now, drain::Ask{drain::Purpose::release}), out);
     } else if (std::holds_alternative<release::LeaveSlot>(effect)) {
-      // Guards a stop that has taken its place.
-      const bool ours = slot_->purpose() == drain::Purpose::release;
+      // If a stop has replaced the release as the slot's purpose, the slot is not given back.
+      const bool for_release = slot_->purpose() == drain::Purpose::release;
       handle_slot_effects(now,
-                          slot_->handle(now, ours ? drain::Input(drain::OutageEnded{})
-                                                  : drain::Cancel{drain::Purpose::release}),
+                          slot_->handle(now, for_release ? drain::Input(drain::OutageEnded{})
+                                                         : drain::Cancel{drain::Purpose::release}),
                           out);
     } else {
       out.emplace_back(MoverEffect{std::move(effect)});
@@ -138,7 +139,7 @@
 void Fleet::handle_coordinator_effects(Time now, std::vector<release::CoordinatorEffect> effects,
                                        Effects& out) {
   for (release::CoordinatorEffect& effect : effects) {
-    // Guards against a step on behalf of a role whose lease has run out unheard.
+    // The lease may have expired without an input that says so: no state is written then.
     if (std::holds_alternative<release::WriteState>(effect) && !leases_[*drain_role_].may_act(now)) {
       coordinator_->handle(now, release::StateWritten{release::StateWritten::Result::unknown});
       continue;
@@ -147,30 +148,31 @@
   }
 }
 
-void Fleet::on(Time now, const DrainInput& heard, Effects& out) {
-  if (slot_) handle_slot_effects(now, slot_->handle(now, heard.input), out);
+void Fleet::on(Time now, const DrainInput& event, Effects& out) {
+  if (slot_) handle_slot_effects(now, slot_->handle(now, event.input), out);
 }
 
-void Fleet::on(Time now, const ReleaseStateInput& seen, Effects& out) {
-  if (mover_) handle_mover_effects(now, mover_->handle(now, seen.input), out);
-  if (coordinator_) handle_coordinator_effects(now, coordinator_->handle(now, seen.input), out);
+void Fleet::on(Time now, const ReleaseStateInput& event, Effects& out) {
+  if (mover_) handle_mover_effects(now, mover_->handle(now, event.input), out);
+  if (coordinator_) handle_coordinator_effects(now, coordinator_->handle(now, event.input), out);
 }
 
-void Fleet::on(Time now, const MoverInput& heard, Effects& out) {
+void Fleet::on(Time now, const MoverInput& event, Effects& out) {
   if (!mover_) return;
-  release::MoverInput input = heard.input;
-  if (auto* due = std::get_if<release::ReportTimerExpired>(&input)) due->waits = slot_->waits_for();
+  release::MoverInput input = event.input;
+  if (auto* report_due = std::get_if<release::ReportTimerExpired>(&input))
+    report_due->waits = slot_->waits_for();
   handle_mover_effects(now, mover_->handle(now, input), out);
 }
 
-void Fleet::on(Time now, const CoordinatorInput& heard, Effects& out) {
-  if (coordinator_) handle_coordinator_effects(now, coordinator_->handle(now, heard.input), out);
+void Fleet::on(Time now, const CoordinatorInput& event, Effects& out) {
+  if (coordinator_) handle_coordinator_effects(now, coordinator_->handle(now, event.input), out);
 }
 
-// --- The cap on endpoints out
+// --- Ejection cap
 void Fleet::handle_arbiter_effects(Time now, std::vector<ejection::ArbiterEffect> effects, Effects& out) {
   for (ejection::ArbiterEffect& effect : effects) {
-    // Guards against a verdict on behalf of a role whose lease has run out unheard.
+    // The lease may have expired without an input that says so: no verdict is written then.
     if (std::holds_alternative<ejection::WriteVerdict>(effect) && !leases_[*ejection_role_].may_act(now)) {
       arbiter_->handle(now, ejection::VerdictWritten{lease::WriteResult::unknown});
       continue;
@@ -179,9 +181,9 @@
   }
 }
 
-void Fleet::on(Time now, const ReporterInput& heard, Effects& out) {
+void Fleet::on(Time now, const ReporterInput& event, Effects& out) {
   if (!reporter_) return;
-  for (ejection::ReporterEffect& effect : reporter_->handle(now, heard.input)) {
+  for (ejection::ReporterEffect& effect : reporter_->handle(now, event.input)) {
     counts_.reports += std::holds_alternative<ejection::WriteReport>(effect) ? 1 : 0;
     const auto* const cap = std::get_if<ejection::CapEndpoints>(&effect);
     counts_.capped += cap && cap->verdict ? 1 : 0;
@@ -189,13 +191,13 @@
   }
 }
 
-void Fleet::on(Time now, const ArbiterInput& heard, Effects& out) {
+void Fleet::on(Time now, const ArbiterInput& event, Effects& out) {
   if (!arbiter_) return;
-  if (const auto* w = std::get_if<ejection::VerdictWritten>(&heard.input)) {
-    counts_.verdicts += w->result == lease::WriteResult::accepted ? 1 : 0;
-    counts_.verdicts_refused += w->result == lease::WriteResult::refused ? 1 : 0;
+  if (const auto* written = std::get_if<ejection::VerdictWritten>(&event.input)) {
+    counts_.verdicts += written->result == lease::WriteResult::accepted ? 1 : 0;
+    counts_.verdicts_refused += written->result == lease::WriteResult::refused ? 1 : 0;
   }
-  handle_arbiter_effects(now, arbiter_->handle(now, heard.input), out);
+  handle_arbiter_effects(now, arbiter_->handle(now, event.input), out);
 }
 
 void Fleet::schedule_sweep(Time at, Effects& out) { out.emplace_back(SetSweepTimer{at}); }
@@ -214,15 +216,15 @@
   for (std::uint32_t i = 0; i < leases_.size(); ++i) handle_lease_input(now, i, lease::ResignRole{}, out);
 }
 
-void Fleet::on(Time now, const LeaseInput& heard, Effects& out) {
-  if (heard.role < leases_.size()) handle_lease_input(now, heard.role, heard.input, out);
+void Fleet::on(Time now, const LeaseInput& event, Effects& out) {
+  if (event.role < leases_.size()) handle_lease_input(now, event.role, event.input, out);
 }
 
 void Fleet::on(Time now, const SweepTimerExpired&, Effects& out) {
   if (!sweep_role_) return;
   const lease::Lease& lease = leases_[*sweep_role_];
-  // A lapse that a renew ends has Act come again, and the work with it.
-  // One at a time: the answer to the one that is out takes the work up again.
+  // If a renewal ends a lapse, the lease becomes active again and schedules the sweep.
+  // One call at a time: the answer to the call in flight schedules the next one.
   if (!lease.may_act(now) || sweep_call_in_flight_) return;
   sweep_call_in_flight_ = true;
   out.emplace_back(ReadRegistrations{*lease.token()});
@@ -231,7 +233,7 @@
 void Fleet::on(Time now, const RegistrationsRead& read, Effects& out) {
   sweep_call_in_flight_ = false;
   const lease::Lease* const lease = active_sweep_lease(now, read.token);
-  // Read on behalf of a role that is over; it may have been taken up anew since.
+  // The read was made under a lease that has ended; the role may have been acquired again since.
   if (!lease) return schedule_sweep(now, out);
   if (read.ok) {
     std::vector<Registration> stale = sweep_->find_stale(now, read.registrations);
@@ -254,13 +256,13 @@
   } else if (removed.result == RegistrationsRemoved::Result::refused) {
     ++counts_.sweeps_refused;
     out.emplace_back(
-        SweepLogMessage{"the removal was refused, as the role or a registration has changed, token " +
+        SweepLogMessage{"the removal was refused: the role or a registration has changed, token " +
                         std::to_string(removed.token)});
   }
-  // There may be more than one transaction holds.
-  const bool at_once =
+  // There may be more stale registrations than fit in one transaction.
+  const bool immediately =
       removed.result == RegistrationsRemoved::Result::accepted || !active_sweep_lease(now, removed.token);
-  schedule_sweep(at_once ? now : now + sweep_->every(), out);
+  schedule_sweep(immediately ? now : now + sweep_->every(), out);
 }
 
 std::vector<Effect> Fleet::resume(Time now) {
--- a/src/fleet/roles.hpp
+++ b/src/fleet/roles.hpp
@@ -1,6 +1,6 @@
-// What one relay does on behalf of the whole fleet, and when it may: a lease for each role it seeks, and the
-// work of the roles that it holds. Decisions only, without input, output or clock; a part of the reducer's
-// state. See docs/ownership.md.
+// One relay's tasks on behalf of the whole fleet, and when it may perform them: a lease for each configured
+// role, and the work of the roles that it holds. Pure state machine: performs no I/O and reads no clock; part
+// of the reducer's state. See docs/ownership.md.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +21,17 @@
 
 namespace fennellane::fleet {
 
-// The roles this relay may hold, as the settings have them. A role's name is its key's in Consul.
+// The roles this relay may hold, as configured. A role's name is the name of its key in Consul.
 struct Plan {
   std::vector<std::string> roles;
   lease::Timing timing;
-  std::optional<SweepSettings> sweep;                       // where "sweep" is among them
-  std::optional<RefreshSettings> refresh;                   // where "refresh" is
+  std::optional<SweepSettings> sweep;                       // if "sweep" is among the roles
+  std::optional<RefreshSettings> refresh;                   // if "refresh" is among the roles
   std::optional<drain::SlotSettings> slot;                  // of the disruption budget
-  std::optional<release::MoverSettings> mover;              // with `slot`: staged releases
-  std::optional<release::CoordinatorSettings> coordinator;  // where "drain" is among the roles
-  std::optional<ejection::ReporterSettings> reporter;       // of the cap on endpoints out
-  std::optional<ejection::ArbiterSettings> arbiter;         // where "ejection" is among the roles
+  std::optional<release::MoverSettings> mover;              // for staged releases; requires `slot`
+  std::optional<release::CoordinatorSettings> coordinator;  // if "drain" is among the roles
+  std::optional<ejection::ReporterSettings> reporter;       // of the ejection cap
+  std::optional<ejection::ArbiterSettings> arbiter;         // if "ejection" is among the roles
   std::uint64_t seed = 0;
 };
 inline constexpr const char* kEjectionRole = "ejection";
@@ -40,15 +40,15 @@
 inline constexpr const char* kDrainRole = "drain";
 
 // --- Inputs
-struct AcquireRoles {};  // the relay is ready: its roles are sought
-struct ResignRoles {};   // it is to stop: they are given up, so that others need not wait for a lapse
+struct AcquireRoles {};  // the relay is ready
+struct ResignRoles {};   // the relay is about to stop: others then need not wait for a lapse
 struct LeaseInput {
   std::uint32_t role = 0;
   lease::Input input;
 };
 struct RegistrationsRead {  // the answer to ReadRegistrations
-  Token token = 0;          // as asked with
-  bool ok = false;          // false: there was none
+  Token token = 0;          // of the request
+  bool ok = false;          // false: no answer, or an unreadable one
   std::vector<Registration> registrations;
 };
 struct RegistrationsRemoved {  // the answer to RemoveRegistrations
@@ -56,14 +56,14 @@
   using Result = lease::WriteResult;
   Result result{};
 };
-struct SweepTimerExpired {};  // the timer that SetWorkTimer asked for
+struct SweepTimerExpired {};  // the timer set by SetSweepTimer
 struct RefreshRoleInput {
   RefreshInput input;
 };
 struct DrainInput {
   drain::Input input;
 };
-struct ReleaseStateInput {  // by the mover and the coordinator
+struct ReleaseStateInput {  // for the mover and the coordinator
   release::StateSeen input;
 };
 struct MoverInput {
@@ -90,22 +90,22 @@
 struct ReadRegistrations {
   Token token = 0;
 };
-// In one transaction with check-session on the role's key: an old holder removes nothing.
+// In one transaction with check-session on the role's key, so that a former holder removes nothing.
 struct RemoveRegistrations {
   std::string session;
   Token token = 0;
   std::vector<Registration> registrations;
 };
-struct SetSweepTimer {  // replaces the one before
+struct SetSweepTimer {  // replaces the previous timer
   Time at{};
 };
-struct SweepLogMessage {  // for the log
+struct SweepLogMessage {
   std::string text;
 };
-struct RefreshRoleEffect {  // of all but StepDown, which ends at the lease
+struct RefreshRoleEffect {  // all but StepDown, which is handled by the lease
   RefreshEffect effect;
 };
-struct DrainEffect {  // GoOut of all but a release, which the mover takes up
+struct DrainEffect {  // GoOffline only if not for a release, which the mover handles
   drain::Effect effect;
 };
 struct MoverEffect {  // Move, WriteReport, SetReportTimer
@@ -114,7 +114,7 @@
 struct CoordinatorEffect {
   release::CoordinatorEffect effect;
 };
-struct ReporterEffect {  // CapEndpoints ends at the reducer
+struct ReporterEffect {  // CapEndpoints is handled by the reducer
   ejection::ReporterEffect effect;
 };
 struct ArbiterEffect {
@@ -137,15 +137,16 @@
 
   std::vector<Effect> handle(Time now, const Input& input);
 
-  // What its memory holds, in order: another's can be taken up where both have the same.
+  // The sections of the snapshot in order: a snapshot can be restored only if both lists are equal.
   std::vector<std::string> snapshot_parts() const;
   const Counts& counts() const { return counts_; }
-  bool follows_shared_list() const { return refresh_ && refresh_->follows_shared_list(); }  // the shared list
+  bool follows_shared_list() const { return refresh_ && refresh_->follows_shared_list(); }
   const drain::Slot* slot() const { return slot_ ? &*slot_ : nullptr; }
-  // Null where there is no cap on endpoints out; else the one in force, if any.
+  // Null without an ejection cap; otherwise the verdict in force, if any.
   const std::optional<ejection::Verdict>* cap() const { return reporter_ ? &reporter_->cap() : nullptr; }
 
-  // Of a process that takes over from another: the leases go on, what was under way is asked for again.
+  // For a process that takes over from another: the leases stay valid, and `resume` repeats the calls that
+  // were in flight.
   template <class Archive>
   void serialize_state(Archive& archive);
   std::vector<Effect> resume(Time now);
@@ -154,17 +155,17 @@
   using Effects = std::vector<Effect>;
   void on(Time now, const AcquireRoles&, Effects& out);
   void on(Time now, const ResignRoles&, Effects& out);
-  void on(Time now, const LeaseInput& heard, Effects& out);
+  void on(Time now, const LeaseInput& event, Effects& out);
   void on(Time now, const RegistrationsRead& read, Effects& out);
   void on(Time now, const RegistrationsRemoved& removed, Effects& out);
   void on(Time now, const SweepTimerExpired&, Effects& out);
-  void on(Time now, const RefreshRoleInput& heard, Effects& out);
-  void on(Time now, const DrainInput& heard, Effects& out);
-  void on(Time now, const ReleaseStateInput& seen, Effects& out);
-  void on(Time now, const MoverInput& heard, Effects& out);
-  void on(Time now, const CoordinatorInput& heard, Effects& out);
-  void on(Time now, const ReporterInput& heard, Effects& out);
-  void on(Time now, const ArbiterInput& heard, Effects& out);
+  void on(Time now, const RefreshRoleInput& event, Effects& out);
+  void on(Time now, const DrainInput& event, Effects& out);
+  void on(Time now, const ReleaseStateInput& event, Effects& out);
+  void on(Time now, const MoverInput& event, Effects& out);
+  void on(Time now, const CoordinatorInput& event, Effects& out);
+  void on(Time now, const ReporterInput& event, Effects& out);
+  void on(Time now, const ArbiterInput& event, Effects& out);
   void handle_refresh_effects(Time now, Refresh::Effects effects, Effects& out);
   void handle_slot_effects(Time now, std::vector<drain::Effect> effects, Effects& out);
   void handle_mover_effects(Time now, std::vector<release::MoverEffect> effects, Effects& out);
@@ -172,7 +173,7 @@
   void handle_arbiter_effects(Time now, std::vector<ejection::ArbiterEffect> effects, Effects& out);
   void handle_lease_input(Time now, std::uint32_t role, const lease::Input& input, Effects& out);
   void schedule_sweep(Time at, Effects& out);
-  // The sweep's lease, where it may act with this token now.
+  // The sweep's lease, if it may act with this token now; otherwise null.
   const lease::Lease* active_sweep_lease(Time now, Token token) const;
 
   std::vector<std::string> roles_;
@@ -188,8 +189,8 @@
   std::optional<ejection::Reporter> reporter_;
   std::optional<std::uint32_t> ejection_role_;
   std::optional<ejection::Arbiter> arbiter_;
-  bool sweep_call_in_flight_ = false;   // a call of the sweep's is out
-  std::size_t removals_in_flight_ = 0;  // registrations, in the transaction that is out
+  bool sweep_call_in_flight_ = false;   // a read or a removal
+  std::size_t removals_in_flight_ = 0;  // registrations in that transaction
   Counts counts_;
 };
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -9,7 +9,7 @@
 using starlinghook::Condition;
 
 constexpr std::size_t kMaxDepartedHosts = 4096;
-constexpr std::size_t kMaxLogLines = 4;  // of one change
+constexpr std::size_t kMaxLogLines = 4;  // per change
 
 double weight_of(const Instance& i) {
   return i.health == HostHealth::passing   ? i.weight_passing
@@ -49,19 +49,19 @@
   return first;
 }
 
-// A host told again after it had been lost is simply there again.
+// A lost host that is listed again is restored without further conditions.
 void Membership::apply_instance(Time now, std::uint32_t service, const Instance& instance) {
   auto it = hosts_.find(instance.id);
   if (!instance.usable) {
-    // Guards a host against a registration that has become unreadable: it stays as it was last told, but for
-    // its health.
+    // A registration that has become unreadable does not remove its host: the last readable one stays in
+    // use, and only the health is updated.
     if (it == hosts_.end()) return;
-    Instance as_before = it->second.reported;
-    as_before.health = instance.health;
-    return apply_instance(now, service, as_before);
+    Instance previous = it->second.reported;
+    previous.health = instance.health;
+    return apply_instance(now, service, previous);
   }
   if (it != hosts_.end() && it->second.reported.destination != instance.destination) {
-    remove(now, it);  // to the relay it is another host
+    remove(now, it);  // identified by id and destination: a different host from here on
     it = hosts_.end();
   }
   const bool added = it == hosts_.end();
@@ -71,16 +71,16 @@
     destinations_[instance.destination].push_back(&it->second);
   }
   Host& host = it->second;
-  const bool worked = !added && accepts_work(host.reported);
+  const bool accepted_before = !added && accepts_work(host.reported);
   host.service = service;
   host.reported = instance;
   host.lost_at.reset();
   due_times_.erase(instance.id);
-  if (worked && !accepts_work(instance)) host.damping.record_departure(now, settings_.damping);
-  const Time back = host.damping.return_time(now, settings_.damping);
+  if (accepted_before && !accepts_work(instance)) host.damping.record_departure(now, settings_.damping);
+  const Time returns_at = host.damping.return_time(now, settings_.damping);
   if (!accepts_work(instance)) host.suppressed = false;
-  if (accepts_work(instance) && !worked) host.suppressed = back > now;
-  if (host.suppressed) due_times_[instance.id] = back;
+  if (accepts_work(instance) && !accepted_before) host.suppressed = returns_at > now;
+  if (host.suppressed) due_times_[instance.id] = returns_at;
   mark_changed(host);
 }
 
@@ -97,9 +97,10 @@
   unlist(host);
   if (accepts_work(host.reported)) host.damping.record_departure(now, settings_.damping);
   if (!host.damping.decayed(now, settings_.damping)) {
-    // Guards the memory against hosts that come once and never again.
+    // Bounded, since hosts that appear only once would otherwise accumulate.
     if (departed_.size() >= kMaxDepartedHosts) {
-      std::erase_if(departed_, [&](const auto& g) { return g.second.decayed(now, settings_.damping); });
+      std::erase_if(departed_,
+                    [&](const auto& entry) { return entry.second.decayed(now, settings_.damping); });
     }
     if (departed_.size() < kMaxDepartedHosts) departed_[it->first] = host.damping;
   }
@@ -110,14 +111,14 @@
   hosts_.erase(it);
 }
 
-// What the answer no longer names.
+// Handles the hosts that the answer no longer lists.
 void Membership::handle_missing(Time now, const ServiceAnswer& answer, MembershipChange& change) {
   std::vector<Hosts::iterator> missing;
-  if (answer.whole) {
-    std::unordered_set<std::string> named;
-    for (const Instance& i : answer.changed) named.insert(i.id);
+  if (answer.full) {
+    std::unordered_set<std::string> listed_ids;
+    for (const Instance& i : answer.changed) listed_ids.insert(i.id);
     for (auto it = hosts_.begin(); it != hosts_.end(); ++it) {
-      if (it->second.service == answer.service && !named.contains(it->first)) missing.push_back(it);
+      if (it->second.service == answer.service && !listed_ids.contains(it->first)) missing.push_back(it);
     }
   } else {
     for (const std::string& id : answer.removed) {
@@ -135,9 +136,9 @@
   for (const auto it : missing) {
     Host& host = it->second;
     if (!seen.insert(&host).second) continue;
-    const bool said_twice =
+    const bool confirmed =
         host.lost_at && *host.lost_at < now && answer.leader_in_contact && answer.from_leader;
-    if (said_twice || !accepts_work(host.reported) || host.suppressed) {
+    if (confirmed || !accepts_work(host.reported) || host.suppressed) {
       gone.push_back(it);
     } else {
       losses[host.reported.destination].push_back(it);
@@ -145,8 +146,8 @@
   }
   std::size_t held = 0;
   for (const auto& [destination, lost] : losses) {
-    const auto all = static_cast<double>(destinations_.at(destination).size());
-    if (static_cast<double>(lost.size()) <= settings_.max_loss_share * all) {
+    const auto total = static_cast<double>(destinations_.at(destination).size());
+    if (static_cast<double>(lost.size()) <= settings_.max_loss_share * total) {
       gone.insert(gone.end(), lost.begin(), lost.end());
       continue;
     }
@@ -163,8 +164,8 @@
   if (held > 0) {
     change.log_lines.push_back(
         std::to_string(held) + " hosts of " + std::to_string(losses.size()) +
-        " destinations are no longer named and had not drained; they stay until that is "
-        "said once more by the leader, or for " +
+        " destinations are missing from the catalogue without having drained; they are kept until a second "
+        "answer of the leader confirms it, or for " +
         std::to_string(settings_.loss_hold.count() / 1000) + " ms");
   }
 }
@@ -174,9 +175,9 @@
   for (const Instance& instance : answer.changed) apply_instance(now, answer.service, instance);
   handle_missing(now, answer, change);
   unanswered_services_.erase(answer.service);
-  const bool first_whole = unanswered_services_.empty() && !full_list_sent_;
-  full_list_sent_ = full_list_sent_ || first_whole;
-  return collect_changes(std::move(change), first_whole);
+  const bool first_full = unanswered_services_.empty() && !full_list_sent_;
+  full_list_sent_ = full_list_sent_ || first_full;
+  return collect_changes(std::move(change), first_full);
 }
 
 MembershipChange Membership::tick(Time now) {
@@ -185,11 +186,11 @@
   for (const auto& [id, at] : due_times_) {
     if (at <= now) due.push_back(id);
   }
-  std::size_t believed = 0;
+  std::size_t removed = 0;
   for (const std::string& id : due) {
     const auto it = hosts_.find(id);
     if (it->second.lost_at) {
-      ++believed;
+      ++removed;
       remove(now, it);
     } else {
       it->second.suppressed = false;
@@ -197,14 +198,14 @@
       mark_changed(it->second);
     }
   }
-  if (believed > 0) {
-    change.log_lines.push_back(std::to_string(believed) +
-                               " hosts were not named again in time: they are gone");
+  if (removed > 0) {
+    change.log_lines.push_back(std::to_string(removed) +
+                               " missing hosts did not reappear in time and were removed");
   }
   return collect_changes(std::move(change), false);
 }
 
-// Calls a second of a destination, from what its hosts tell.
+// Calls per second of a destination, computed from the rates and weights of its hosts.
 double Membership::rate_of(const std::vector<Host*>& hosts) const {
   double sum = 0, highest = 0, weight = 0, full_weight = 0;
   for (const Host* host : hosts) {
@@ -231,7 +232,7 @@
   return entry;
 }
 
-MembershipChange Membership::collect_changes(MembershipChange change, bool whole) {
+MembershipChange Membership::collect_changes(MembershipChange change, bool full) {
   for (const std::uint32_t destination : changed_destinations_) {
     const auto it = destinations_.find(destination);
     if (it == destinations_.end()) continue;
@@ -245,11 +246,11 @@
   }
   changed_destinations_.clear();
   if (change.log_lines.size() > kMaxLogLines) change.log_lines.resize(kMaxLogLines);
-  if (whole) {
-    change.list = whole_list();
+  if (full) {
+    change.list = full_list();
   } else if (!changes_.empty()) {
-    // Guards a host against its own going: a host that has moved to another destination and back within one
-    // answer is gone first and there then.
+    // Removals come first: a host that moved to another destination and back within one answer has both a
+    // removal and an entry, and the entry must prevail.
     std::stable_partition(changes_.begin(), changes_.end(),
                           [](const HostEntry& e) { return e.condition == Condition::gone; });
     change.list.emplace();
@@ -259,7 +260,7 @@
   return change;
 }
 
-HostList Membership::whole_list() const {
+HostList Membership::full_list() const {
   HostList list;
   list.full = true;
   for (const auto& [id, host] : hosts_) {
@@ -271,14 +272,14 @@
 }
 
 MembershipStats Membership::stats() const {
-  MembershipStats f;
-  f.hosts = hosts_.size();
+  MembershipStats stats;
+  stats.hosts = hosts_.size();
   for (const auto& [id, host] : hosts_) {
-    f.draining += host.listed && host.listed->condition == Condition::draining ? 1 : 0;
-    f.suppressed += host.suppressed ? 1 : 0;
-    f.lost += host.lost_at ? 1 : 0;
+    stats.draining += host.listed && host.listed->condition == Condition::draining ? 1 : 0;
+    stats.suppressed += host.suppressed ? 1 : 0;
+    stats.lost += host.lost_at ? 1 : 0;
   }
-  return f;
+  return stats;
 }
 
 }  // namespace fennellane
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,13 +1,14 @@
-// Membership: what a catalogue's answers make of the cluster. Answers and moments in, changes of the list
-// out. It reads no clock, does no input or output and knows no protocol.
+// Cluster membership derived from the answers of a service catalogue. Inputs are answers and timer ticks,
+// outputs are changes of the host list. Pure state machine: performs no I/O, reads no clock and is
+// independent of the catalogue's protocol.
 //
-// What wins when:
-// - A host told critical or in maintenance drains with that very answer, whatever else holds.
-// - A host that is no longer named is gone with that answer, unless more than a set share of its
-// destination's
-//   hosts vanish so without having drained. Those stay as they were (a catalogue may have lost its memory)
-//   until the leader has said it once more or a set time is over.
-// - A host told passing takes work at once, unless it has come and gone too often: then its return waits.
+// Rules, in order of precedence:
+// - A host reported critical or in maintenance drains with the answer that says so.
+// - A host that is no longer listed is removed with that answer, unless more than a configured share of its
+//   destination's hosts vanish in this way without having drained. Those are kept unchanged, since the
+//   catalogue may have lost its data, until a second answer of the leader confirms the loss or a configured
+//   time has passed.
+// - A host reported passing accepts work at once, unless it flapped too often: its return is then delayed.
 #pragma once
 
 #include <cstdint>
@@ -26,15 +27,15 @@
 
 enum class HostHealth : std::uint8_t { passing, warning, critical, maintenance };
 
-// One host as the catalogue tells it.
+// One host as the catalogue reports it.
 struct Instance {
-  std::string id;      // never another host's, whatever its node, agent or service
-  bool usable = true;  // false: its registration cannot be used, and only its health counts
-  Address address;     // numeric
+  std::string id;      // unique across nodes, agents and services
+  bool usable = true;  // false: the registration is invalid, and only the health is used
+  Address address;     // an IP address
   std::uint32_t zone = 0;
   std::uint32_t kind = 0;
   std::uint32_t destination = 0;
-  double rate = 0;            // calls a second, at a weight of 1; 0 = not told
+  double rate = 0;            // calls per second at a weight of 1; 0 = not specified
   double weight_passing = 1;  // scales the rate
   double weight_warning = 1;
   HostHealth health = HostHealth::passing;
@@ -42,11 +43,10 @@
 };
 
 struct ServiceAnswer {
-  std::uint32_t service = 0;  // its position in the settings
-  bool whole = false;         // `changed` names all there are; else `gone` says what is missing now
-  bool leader_in_contact =
-      true;                 // the catalogue knows a leader, and the answering server is in touch with it
-  bool from_leader = true;  // by the leader itself, not by any server
+  std::uint32_t service = 0;      // index of the service in the settings
+  bool full = false;              // `changed` lists every host; otherwise `removed` lists the missing ones
+  bool leader_in_contact = true;  // of the server that answered, with the catalogue's leader
+  bool from_leader = true;        // answered by the leader and not by an arbitrary server
   std::vector<Instance> changed;
   std::vector<std::string> removed;  // ids
 };
@@ -63,45 +63,46 @@
 };
 
 struct MembershipChange {
-  std::optional<HostList> list;        // with changes only, or whole
-  bool query_again = false;            // the same answer is wanted once more, at once and from the leader
-  std::vector<std::string> log_lines;  // for the log, a few at most
+  std::optional<HostList> list;        // the changes, or the full list
+  bool query_again = false;            // repeat the query at once, at the leader
+  std::vector<std::string> log_lines;  // at most kMaxLogLines
 };
 
 struct MembershipStats {
-  std::uint64_t hosts = 0;       // named by the list
-  std::uint64_t draining = 0;    // of these, take no new work
-  std::uint64_t suppressed = 0;  // of these, passing, and held back as they came and went
-  std::uint64_t lost = 0;        // kept although no longer named
+  std::uint64_t hosts = 0;       // in the list
+  std::uint64_t draining = 0;    // of these, accept no new work
+  std::uint64_t suppressed = 0;  // of these, passing but suppressed by flap damping
+  std::uint64_t lost = 0;        // of these, kept although no longer listed
 };
 
 class Membership {
  public:
   explicit Membership(const MembershipSettings& settings);
 
-  // What an earlier life knew, before any answer. Its services are positions in the present settings.
+  // Restores a host known to the previous process; before the first answer. `service` is an index in the
+  // present settings.
   void restore(std::uint32_t service, const Instance& instance);
 
-  // An answer. The list is whole once, when each service has been answered.
+  // Applies an answer. The full list is output once, when every service has been answered.
   MembershipChange apply(Time now, const ServiceAnswer& answer);
-  // A moment at which something may be due.
+  // Processes what is due at `now`.
   MembershipChange tick(Time now);
-  // The next such moment, or Time::max().
+  // When `tick` has to be called next, or Time::max().
   Time next_due() const;
 
-  HostList whole_list() const;
+  HostList full_list() const;
   bool complete() const { return unanswered_services_.empty(); }
   MembershipStats stats() const;
-  // What `restore` takes.
-  template <class Take>
-  void for_each_instance(Take take) const {
-    for (const auto& [id, host] : hosts_) take(host.service, host.reported);
+  // Visits every host with the arguments of `restore`.
+  template <class Visitor>
+  void for_each_instance(Visitor visit) const {
+    for (const auto& [id, host] : hosts_) visit(host.service, host.reported);
   }
-  // All of it, as bytes, for another process with the same settings.
+  // The complete state as bytes, for another process with the same settings.
   std::string save();
-  void load(std::string_view bytes);  // before anything else; throws starlinghook::MemoryError
+  void load(std::string_view bytes);  // before any other call; throws starlinghook::SnapshotError
 
-  // All that is remembered.
+  // Number of hosts held in memory, departed ones included.
   std::size_t record_count() const { return hosts_.size() + departed_.size(); }
 
  private:
@@ -110,7 +111,7 @@
     Instance reported;
     Damping damping;
     bool suppressed = false;
-    std::optional<Time> lost_at;  // no longer named, and not believed yet
+    std::optional<Time> lost_at;  // missing since then, not yet removed
     std::optional<HostEntry> listed;
     template <class Archive>
     void serialize(Archive& archive);
@@ -123,7 +124,7 @@
   void handle_missing(Time now, const ServiceAnswer& answer, MembershipChange& change);
   void remove(Time now, Hosts::iterator it);
   void mark_changed(const Host& host) { changed_destinations_.insert(host.reported.destination); }
-  MembershipChange collect_changes(MembershipChange change, bool whole);
+  MembershipChange collect_changes(MembershipChange change, bool full);
   HostEntry entry_of(const Host& host, double rate) const;
   double rate_of(const std::vector<Host*>& hosts) const;
   void unlist(Host& host);
@@ -131,13 +132,13 @@
   const MembershipSettings settings_;
   Hosts hosts_;
   std::map<std::uint32_t, std::vector<Host*>> destinations_;
-  // Hosts that are gone and may come back too soon; bounded.
+  // Damping state of removed hosts, in case they return; bounded.
   std::unordered_map<std::string, Damping> departed_;
   std::set<std::uint32_t> unanswered_services_;
   bool full_list_sent_ = false;
-  std::set<std::uint32_t> changed_destinations_;  // destinations that the present input concerns
+  std::set<std::uint32_t> changed_destinations_;  // affected by the present input
   std::vector<HostEntry> changes_;
-  std::map<std::string, Time> due_times_;  // hosts that are suppressed or lost, and when they are due
+  std::map<std::string, Time> due_times_;  // by host id: end of suppression, or removal if lost
 };
 
 }  // namespace fennellane
--- a/src/membership/membership_snapshot.cpp
+++ b/src/membership/membership_snapshot.cpp
@@ -1,4 +1,4 @@
-// What membership remembers, as bytes, for a process that takes over from another.
+// Serialization of the membership state, for a process that takes over from another.
 #include "membership.hpp"
 #include "snapshot.hpp"
 
--- a/tests/consul_test.cpp
+++ b/tests/consul_test.cpp
@@ -1,4 +1,4 @@
-// The relay with Consul as its membership source, against the stand-in agent.
+// The relay with Consul as its membership source, against a stand-in for the agent.
 #include "command.hpp"
 #include "consul_agent.hpp"
 #include "relay_fixture.hpp"
@@ -29,12 +29,12 @@
          of_service + ")\n" + more + ")\n";
 }
 
-// A relay beside the platform (which takes its notices), an agent and one partner system that answers.
+// A relay with the platform (which accepts its notices), an agent and two partner endpoints.
 class Consul : public testing::Test {
  protected:
   Consul() { agent.put("bank", host_at("b1", host.address())); }
-  // Offers one message and says what the client heard.
-  unsigned offer(const std::string& id, const std::string& kind = "note", int destination = 7) {
+  // Submits one message and returns the status of the answer.
+  unsigned submit(const std::string& id, const std::string& kind = "note", int destination = 7) {
     return relay.ask(request_text(id, "x", kind, destination));
   }
   void start(const std::string& more = "") {
@@ -46,32 +46,32 @@
     relay.signal(SIGHUP);
   }
 
-  std::atomic<bool> refuses = false;
-  Server host{[this](const Request&) { return answer(refuses ? "503 Full" : "200 OK"); }};
+  std::atomic<bool> refuse_calls = false;
+  Server host{[this](const Request&) { return answer(refuse_calls ? "503 Full" : "200 OK"); }};
   Server other{[](const Request&) { return answer("200 OK"); }};
   Platform platform{{{"p-1", other.address()}}};
   ConsulAgent agent;
   RelayProgram relay{platform.address()};
 };
 
-TEST_F(Consul, DeliversToWhatTheCatalogueNames) {
+TEST_F(Consul, DeliversToTheHostsOfTheCatalogue) {
   start();
-  EXPECT_EQ(offer("a1"), 202u);
+  EXPECT_EQ(submit("a1"), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; })) << relay.log();
-  EXPECT_EQ(offer("a2", "note", 8), 400u);  // a destination that no one names
+  EXPECT_EQ(submit("a2", "note", 8), 400u);  // a destination without hosts
   agent.put("bank", host_at("b2", other.address(), 8));
-  EXPECT_TRUE(happens([&] { return offer("a3", "note", 8) == 202; })) << relay.log();
+  EXPECT_TRUE(happens([&] { return submit("a3", "note", 8) == 202; })) << relay.log();
   EXPECT_TRUE(happens([&] { return other.count("a3") == 1; }));
   EXPECT_EQ(platform.watches(), 0u);
 }
 
-// A drain, a removal, a return: messages held meanwhile go out when a host takes work again.
-TEST_F(Consul, NothingNewGoesToWhatDrainsOrIsGone) {
+// A drain or removal, then a return: messages held meanwhile are sent when a host accepts work again.
+TEST_F(Consul, SendsNothingNewToHostsThatDrainOrAreGone) {
   start();
-  ASSERT_EQ(offer("a1"), 202u);
+  ASSERT_EQ(submit("a1"), 202u);
   ASSERT_TRUE(happens([&] { return host.count("a1") == 1; }));
-  for (const char* how : {"critical", "maintenance", "gone"}) {
-    const std::string kind = how;
+  for (const char* state : {"critical", "maintenance", "gone"}) {
+    const std::string kind = state;
     const std::uint64_t answers = relay.counter("consul.answers");
     agent.change("bank", [&](ConsulAgent::Hosts& hosts) {
       if (kind == "gone") {
@@ -81,19 +81,19 @@
         hosts.begin()->second.maintenance = kind == "maintenance";
       }
     });
-    // Emptied without a drain: two answers, since the leader is asked once more.
+    // Emptied without a drain: two answers, since the query is repeated at the leader.
     ASSERT_TRUE(
         happens([&] { return relay.counter("consul.answers") >= answers + (kind == "gone" ? 2 : 1); }));
-    ASSERT_EQ(offer("held-" + kind), 202u);
+    ASSERT_EQ(submit("held-" + kind), 202u);
     std::this_thread::sleep_for(milliseconds(300));
-    EXPECT_EQ(host.count("held-" + kind), 0u) << how;
+    EXPECT_EQ(host.count("held-" + kind), 0u) << state;
     agent.put("bank", host_at("b1", host.address()));
-    EXPECT_TRUE(happens([&] { return host.count("held-" + kind) == 1; })) << how << relay.log();
+    EXPECT_TRUE(happens([&] { return host.count("held-" + kind) == 1; })) << state << relay.log();
   }
 }
 
-// A minute without Consul is the same as a second: deliveries go on, by the list as it was.
-TEST_F(Consul, TheLastGoodListStaysThroughEachTrouble) {
+// Deliveries continue with the last valid list while Consul fails in any way.
+TEST_F(Consul, KeepsTheLastValidListThroughEachFault) {
   start("(answer-ms 500) (wait-ms 1000)");
   int n = 0;
   for (const Fault fault :
@@ -109,82 +109,82 @@
       ASSERT_TRUE(happens([&] { return relay.counter("consul.errors") > errors; })) << n << relay.log();
     }
     const std::string id = "during-" + std::to_string(n);
-    EXPECT_EQ(offer(id), 202u);
+    EXPECT_EQ(submit(id), 202u);
     EXPECT_TRUE(happens([&] { return host.count(id) == 1; })) << n << relay.log();
     agent.set_fault(Fault::none);
     agent.close_connections();
-    // And a change made meanwhile is seen right after.
+    // A change made meanwhile is picked up right after the fault.
     const std::string added = "n" + std::to_string(n++);
     agent.put("bank", host_at(added, other.address(), 100 + n));
-    EXPECT_TRUE(happens([&] { return offer("new-" + added, "note", 100 + n) == 202; }))
+    EXPECT_TRUE(happens([&] { return submit("new-" + added, "note", 100 + n) == 202; }))
         << added << relay.log();
   }
   EXPECT_LT(relay.logged("consul: "), 60u) << relay.log();
   EXPECT_TRUE(relay.runs());
 }
 
-// The list of an earlier life is all there is while Consul cannot be reached at a start.
-TEST_F(Consul, StartsByTheListItKeptWhereConsulIsAway) {
+// A relay that starts while Consul is unreachable uses the list saved by the previous process.
+TEST_F(Consul, StartsWithTheSavedListIfConsulIsUnreachable) {
   start();
-  ASSERT_EQ(offer("a1"), 202u);
+  ASSERT_EQ(submit("a1"), 202u);
   ASSERT_TRUE(happens([&] { return relay.counter("consul.saves") >= 1; })) << relay.log();
   EXPECT_EQ(relay.end(SIGKILL), -SIGKILL);
   agent.set_fault(Fault::error_500);
   relay.start();
-  EXPECT_EQ(relay.logged("1 hosts are known from an earlier life"), 1u) << relay.log();
-  EXPECT_EQ(offer("a2"), 202u);
+  EXPECT_EQ(relay.logged("1 hosts restored from the previous process"), 1u) << relay.log();
+  EXPECT_EQ(submit("a2"), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a2") == 1; })) << relay.log();
-  EXPECT_EQ(offer("a3", "note", 8), 503u);  // may be too early to say that there is none
-  // Drained while it was away: the first answer says so.
+  EXPECT_EQ(submit("a3", "note", 8), 503u);  // unknown, since the list may be outdated
+  // Drained during the outage: takes effect with the first answer.
   agent.set_status("bank", "b1", "critical");
   agent.set_fault(Fault::none);
   ASSERT_TRUE(happens([&] { return relay.counter("consul.answers") >= 1; }));
-  ASSERT_EQ(offer("a4"), 202u);
+  ASSERT_EQ(submit("a4"), 202u);
   std::this_thread::sleep_for(milliseconds(300));
   EXPECT_EQ(host.count("a4"), 0u);
 }
 
-// Healthy by the catalogue, and refuses all: the module's rests decide, and passing shortens none of them.
-TEST_F(Consul, PassingDoesNotShortenARest) {
-  refuses = true;
+// The endpoint is healthy by the catalogue but refuses every call: the delivery module's backoff applies and
+// is not shortened by passing checks.
+TEST_F(Consul, PassingDoesNotShortenABackoff) {
+  refuse_calls = true;
   start();
-  ASSERT_EQ(offer("a1"), 202u);
+  ASSERT_EQ(submit("a1"), 202u);
   ASSERT_TRUE(happens([&] { return host.count("a1") >= 2; }));
   const std::size_t before = host.count("a1");
-  const auto began = std::chrono::steady_clock::now();
+  const auto start_time = std::chrono::steady_clock::now();
   for (int i = 0; i < 50; ++i) {
     agent.set_status("bank", "b1", i % 2 == 0 ? "warning" : "passing");
     std::this_thread::sleep_for(milliseconds(10));
   }
-  // The linear wait of the design, 1.5 s times the attempts made, allows one more at most for each 1.5 s.
-  const auto passed = std::chrono::steady_clock::now() - began;
-  EXPECT_LE(host.count("a1"), before + 1 + static_cast<std::size_t>(passed / milliseconds(1500)));
-  refuses = false;
+  // The backoff is linear, 1.5 s times the attempts made, and allows at most one more attempt per 1.5 s.
+  const auto elapsed = std::chrono::steady_clock::now() - start_time;
+  EXPECT_LE(host.count("a1"), before + 1 + static_cast<std::size_t>(elapsed / milliseconds(1500)));
+  refuse_calls = false;
   EXPECT_TRUE(happens([&] { return relay.counter("delivered") == 1; })) << relay.log();
 }
 
-// Indexes that go backwards: an older answer does not un-tell a drain, and the leader's word is taken.
-TEST_F(Consul, AnIndexThatGoesBackwardsIsAskedForAgain) {
+// After the index decreases, an older answer does not revert a drain; the answer of the leader is used.
+TEST_F(Consul, RepeatsTheQueryIfTheIndexDecreases) {
   start();
   agent.set_status("bank", "b1", "critical");
   ASSERT_TRUE(happens([&] { return relay.counter("consul.answers") >= 2; }));
   agent.restart_index(3);
   ASSERT_TRUE(happens([&] {
-    // Anywhere: the stand-in notes an answer once it is written, perhaps behind that to the query that
-    // follows.
+    // At any position: the stand-in records an answer only after writing it, so the order may differ.
     const auto served = agent.served();
     return std::any_of(served.begin(), served.end(), [](const auto& s) {
       return s.index == 3 && s.target.find("index=0") != std::string::npos;
     });
   }));
   agent.set_status("bank", "b1", "passing");
-  EXPECT_EQ(offer("a1"), 202u);
+  EXPECT_EQ(submit("a1"), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; })) << relay.log();
 }
 
-// Changes of the catalogue and faults of the agent, drawn from a seed, in one another's way: once the agent
-// is well again, the relay has what the catalogue says.
-TEST_F(Consul, ComesToTheCatalogueAfterAnySeriesOfFaults) {
+// Seeded random changes of the catalogue and faults of the agent, interleaved: once the agent works again,
+// the relay's list matches the catalogue.
+TEST_F(Consul, ConvergesToTheCatalogueAfterAnySeriesOfFaults) {
   start("(wait-ms 1000) (answer-ms 300) (damping (suppress 1000) (reuse 1))");
   std::mt19937 random(20261201);
   const std::vector<Fault> faults = {Fault::error_500, Fault::cut,     Fault::garbage,   Fault::silent,
@@ -214,17 +214,17 @@
   agent.set_leader(true);
   agent.close_connections();
   agent.put("bank", host_at("last", host.address(), 30));
-  // What the last change brings tells that all before it is known as well, but for hosts that it was the
-  // first to leave out: they stay until the next answer says so once more.
-  ASSERT_TRUE(happens([&] { return offer("to-last", "note", 30) == 202; })) << relay.log();
+  // Once the last change is known, so are all before it, except for hosts first missing in that answer: these
+  // stay until the next answer confirms the loss.
+  ASSERT_TRUE(happens([&] { return submit("to-last", "note", 30) == 202; })) << relay.log();
   agent.put("bank", host_at("behind-last", host.address(), 31));
-  ASSERT_TRUE(happens([&] { return offer("to-behind-last", "note", 31) == 202; })) << relay.log();
+  ASSERT_TRUE(happens([&] { return submit("to-behind-last", "note", 31) == 202; })) << relay.log();
   for (std::size_t i = 0; i < kHosts; ++i) {
     const std::string id = "to-h" + std::to_string(i);
-    const bool works = states[i] == "passing" || states[i] == "warning";
-    const bool taken = offer(id, "note", 20 + static_cast<int>(i)) == 202;
-    EXPECT_TRUE(taken || !works) << i << relay.log();
-    if (!works) continue;
+    const bool expected = states[i] == "passing" || states[i] == "warning";
+    const bool accepted = submit(id, "note", 20 + static_cast<int>(i)) == 202;
+    EXPECT_TRUE(accepted || !expected) << i << relay.log();
+    if (!expected) continue;
     EXPECT_TRUE(happens([&] { return host.count(id) == 1; })) << i << relay.log();
   }
   std::this_thread::sleep_for(milliseconds(300));
@@ -236,37 +236,37 @@
   EXPECT_TRUE(relay.runs());
 }
 
-TEST_F(Consul, SourcesChangeUnderLoadAndNoMessageIsLost) {
+TEST_F(Consul, ChangingTheSourceUnderLoadLosesNoMessage) {
   relay.replace_settings("(membership \"platform\")");
   relay.start();
   std::atomic<bool> done = false;
-  std::atomic<std::uint64_t> taken = 0;
+  std::atomic<std::uint64_t> accepted = 0;
   std::thread load([&] {
     for (int i = 0; !done; ++i) {
-      if (offer("m" + std::to_string(i), i % 2 == 0 ? "note" : "pay") == 202) ++taken;
+      if (submit("m" + std::to_string(i), i % 2 == 0 ? "note" : "pay") == 202) ++accepted;
       std::this_thread::sleep_for(milliseconds(10));
     }
   });
-  const auto moves_to = [&](const Server& server) {
+  const auto expect_traffic_at = [&](const Server& server) {
     const std::size_t before = server.requests().size();
     EXPECT_TRUE(happens([&] { return server.requests().size() > before + 20; })) << relay.log();
   };
-  moves_to(other);
+  expect_traffic_at(other);
   settings(settings_text(agent.address()));
-  moves_to(host);
+  expect_traffic_at(host);
   settings("(membership \"platform\")");
-  moves_to(other);
+  expect_traffic_at(other);
   settings("(membership \"list\") (host (id \"x\") (address \"" + host.address() + "\") (destination 7))");
-  moves_to(host);
-  settings("(membership \"consul\")");  // cannot be used: nothing changes
+  expect_traffic_at(host);
+  settings("(membership \"consul\")");  // invalid: nothing changes
   EXPECT_TRUE(happens([&] { return relay.logged("the old configuration stays") == 1; })) << relay.log();
-  moves_to(host);
+  expect_traffic_at(host);
   done = true;
   load.join();
   EXPECT_TRUE(happens([&] { return relay.counter("journal.held") == 0; })) << relay.log();
   const std::uint64_t ended =
       relay.counter("delivered") + relay.counter("deferred") + relay.counter("undeliverable");
-  EXPECT_EQ(ended, taken);
+  EXPECT_EQ(ended, accepted);
   EXPECT_EQ(relay.counter("undeliverable"), 0u) << relay.log();
   std::map<std::string, int> ids;
   for (const Server* server : {&host, &other}) {
@@ -276,7 +276,7 @@
   for (const auto& [id, count] : ids) EXPECT_EQ(count, 1) << id;
 }
 
-TEST_F(Consul, SendsItsTokenRereadsItAndNeverLogsIt) {
+TEST_F(Consul, SendsAndReloadsItsTokenAndNeverLogsIt) {
   const std::string file = relay.state_folder() + "/token";
   std::ofstream(file) << "s3cr3t-one\n";
   start("(token-file \"" + file + "\")");
@@ -286,14 +286,14 @@
   relay.signal(SIGHUP);
   agent.set_status("bank", "b1", "warning");
   EXPECT_TRUE(happens([&] { return agent.served().back().token == "s3cr3t-two"; })) << relay.log();
-  EXPECT_EQ(offer("a1"), 202u);
+  EXPECT_EQ(submit("a1"), 202u);
   EXPECT_TRUE(happens([&] { return host.count("a1") == 1; }));
   EXPECT_EQ(relay.logged("s3cr3t"), 0u);
 }
 
-// The relay itself: registered, passing once ready, and gone from the catalogue at SIGTERM. An agent that
-// fails harms nothing.
-TEST_F(Consul, RegistersItselfAndTakesItselfOut) {
+// The relay registers itself, passes its check once ready, and deregisters at SIGTERM. A failing agent does
+// not affect deliveries.
+TEST_F(Consul, RegistersAndDeregistersItself) {
   start("(register (service \"relay\") (ttl-ms 1000))");
   const auto put = [&](const std::string& target) {
     const auto puts = agent.puts();
@@ -307,16 +307,15 @@
   EXPECT_NE(body.find("\"TTL\":\"1000ms\""), std::string::npos) << body;
   agent.set_fault(Fault::error_500);
   ASSERT_TRUE(happens([&] { return relay.logged("registration: status 500") == 1; })) << relay.log();
-  EXPECT_EQ(offer("a1"), 202u);
+  EXPECT_EQ(submit("a1"), 202u);
   agent.set_fault(Fault::none);
-  ASSERT_TRUE(happens([&] { return relay.logged("registration: in place again") == 1; }));
+  ASSERT_TRUE(happens([&] { return relay.logged("registration: working again") == 1; }));
   EXPECT_FALSE(put("/v1/agent/service/deregister/relay-n0"));
   EXPECT_EQ(relay.end(SIGTERM), 0);
   EXPECT_TRUE(put("/v1/agent/service/deregister/relay-n0"));
 }
 
-// An upgrade keeps the list, the watch and the registration; the new process hears of drains as the old one
-// did.
+// An upgrade keeps the list, the watch and the registration; the new process sees drains as the old one did.
 TEST_F(Consul, AnUpgradeKeepsTheListAndTheRegistration) {
   relay.replace_settings(settings_text(agent.address(), "(register (service \"relay\") (ttl-ms 1000))") +
                          "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000))");
@@ -328,14 +327,14 @@
   };
   ASSERT_TRUE(happens([&] { return puts("/check/pass/") > 0; }));
   ASSERT_EQ(upgrade::request_upgrade(relay.state_folder(), std::chrono::seconds(90)), 0) << relay.log();
-  const auto beats = puts("/check/pass/");
-  EXPECT_TRUE(happens([&] { return puts("/check/pass/") > beats + 1; }));
+  const auto heartbeats = puts("/check/pass/");
+  EXPECT_TRUE(happens([&] { return puts("/check/pass/") > heartbeats + 1; }));
   EXPECT_EQ(puts("/service/register"), 1);
   EXPECT_EQ(puts("/service/deregister"), 0);
   const std::uint64_t answers = relay.counter("consul.answers");
   agent.set_status("bank", "b1", "critical");
   ASSERT_TRUE(happens([&] { return relay.counter("consul.answers") > answers; }));
-  EXPECT_EQ(offer("held"), 202u);
+  EXPECT_EQ(submit("held"), 202u);
   std::this_thread::sleep_for(milliseconds(300));
   EXPECT_EQ(host.count("held"), 0u);
   agent.set_status("bank", "b1", "passing");
@@ -344,25 +343,25 @@
   EXPECT_EQ(puts("/service/deregister"), 1);
 }
 
-// Without a platform: undelivered ends go to the log and a counter, and are over with that.
+// Without a platform, undelivered messages are logged and counted, and need no notice.
 TEST(Alone, ServesWithTheSettingsFileOnly) {
-  Server good([](const Request&) { return answer("200 OK"); });
-  Server bad([](const Request&) { return answer("500 Bad"); });
+  Server ok([](const Request&) { return answer("200 OK"); });
+  Server failing([](const Request&) { return answer("500 Bad"); });
   standin::RelayProcess relay(FENNELLANE_PROGRAM);
   relay.replace_settings(
       "(name \"alone\") (listen \"" + relay.address() + "\") (log (form \"json\"))\n" +
       "(class (name \"note\") (effect \"free\") (aim-ms 2000) (give-up-ms 20000))\n" +
       "(class (name \"pay\") (effect \"single_shot\") (aim-ms 2000) (give-up-ms 20000))\n" +
-      "(tenant (name \"south\"))\n(host (id \"a\") (address \"" + good.address() +
-      "\") (destination 7))\n(host (id \"b\") (address \"" + bad.address() + "\") (destination 8))");
+      "(tenant (name \"south\"))\n(host (id \"a\") (address \"" + ok.address() +
+      "\") (destination 7))\n(host (id \"b\") (address \"" + failing.address() + "\") (destination 8))");
   relay.start();
   EXPECT_EQ(relay.ask(request_text("a1")), 202u);
-  EXPECT_TRUE(happens([&] { return good.count("a1") == 1; })) << relay.log();
+  EXPECT_TRUE(happens([&] { return ok.count("a1") == 1; })) << relay.log();
   EXPECT_EQ(relay.ask(request_text("b1", "x", "pay", 8)), 202u);
   EXPECT_TRUE(happens([&] {
     return relay.logged("\"part\":\"undelivered\",\"msg\":\"b1: undeliverable\"") == 1;
   })) << relay.log();
-  EXPECT_EQ(bad.count("b1"), 1u);
+  EXPECT_EQ(failing.count("b1"), 1u);
   EXPECT_TRUE(happens([&] { return relay.counter("journal.held") == 0; })) << relay.log();
   EXPECT_EQ(relay.counter("unnoticed"), 1u);
   EXPECT_EQ(relay.end(SIGTERM), 0);
