--- a/tests/fleet_settings.hpp
+++ b/tests/fleet_settings.hpp
@@ -1,4 +1,4 @@
-// What the models of many forwarders share: one forwarder's settings.
+// Settings of one forwarder, shared by the tests that model many forwarders.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 
 namespace starlinghook::test {
 
-// Of the forwarder `index` among `forwarders`, with random numbers of its own for each `seed`.
+// Settings of forwarder `index` of `forwarders`, with a distinct random seed per forwarder.
 inline Settings fleet_settings(unsigned seed, std::uint32_t index, std::uint32_t forwarders) {
   using std::chrono::seconds;
   Settings s;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// From the bytes of Consul's answers to the list: reader, membership and what is kept, without a socket.
+// From the bytes of Consul's answers to the host list: answer reader, membership, saved list and the rules of
+// blocking queries, without sockets.
 #include "membership.hpp"
 
 #include <gtest/gtest.h>
@@ -32,8 +33,8 @@
   settings.services[1].name = "office";
   settings.services[1].destination = 9;
   settings.membership.services = kServices;
-  settings.membership.max_loss_share = 1;      // nothing is held back
-  settings.membership.damping.suppress = 1e9;  // nothing waits
+  settings.membership.max_loss_share = 1;      // no loss is held back
+  settings.membership.damping.suppress = 1e9;  // no return is delayed
   return settings;
 }
 
@@ -45,7 +46,7 @@
   return host;
 }
 
-// The whole of one service's answer.
+// The complete answer for one service.
 std::string answer_text(const std::string& service, const std::vector<CatalogueHost>& hosts) {
   std::string text = "[";
   for (const CatalogueHost& h : hosts)
@@ -53,9 +54,9 @@
   return text + "]\n";
 }
 
-// What the relay does with the list's changes.
+// Applies changes of the host list as the relay does.
 using Listed = std::map<std::string, HostEntry>;
-void adopt(Listed& listed, const HostList& list) {
+void apply_changes(Listed& listed, const HostList& list) {
   if (list.full) listed.clear();
   for (const HostEntry& entry : list.hosts) {
     if (entry.condition == Condition::gone) {
@@ -73,20 +74,20 @@
       readers.push_back(std::make_unique<AnswerReader>(settings, i, names, AnswerLimits{}));
     }
   }
-  MembershipChange take(std::uint32_t service, const std::string& text, bool leader = true) {
+  MembershipChange apply(std::uint32_t service, const std::string& text, bool leader = true) {
     readers[service]->begin();
     std::mt19937 random(static_cast<unsigned>(text.size()));
     for (const std::string_view piece : test::split_at_random(text, random)) readers[service]->feed(piece);
     ServiceAnswer answer = readers[service]->finish();
     answer.leader_in_contact = leader;
-    return note(membership.apply(now, answer));
+    return record(membership.apply(now, answer));
   }
-  MembershipChange take(std::uint32_t service, const std::vector<CatalogueHost>& hosts, bool leader = true) {
-    return take(service, answer_text(settings.services[service].name, hosts), leader);
+  MembershipChange apply(std::uint32_t service, const std::vector<CatalogueHost>& hosts, bool leader = true) {
+    return apply(service, answer_text(settings.services[service].name, hosts), leader);
   }
-  MembershipChange pass(Time span) {
+  MembershipChange advance(Time span) {
     now += span;
-    return note(membership.tick(now));
+    return record(membership.tick(now));
   }
   void hand_over() {
     const std::string bytes = membership.save();
@@ -108,131 +109,132 @@
   Listed listed;
 
  private:
-  MembershipChange note(MembershipChange change) {
-    if (change.list) adopt(listed, *change.list);
+  MembershipChange record(MembershipChange change) {
+    if (change.list) apply_changes(listed, *change.list);
     return change;
   }
 };
 
 // --- Properties
-struct Op {
+struct Operation {
   int kind, service, host, value;
 };
-std::ostream& operator<<(std::ostream& out, const Op& op) {
-  return out << "{" << op.kind << "," << op.service << "," << op.host << "," << op.value << "}";
+std::ostream& operator<<(std::ostream& out, const Operation& operation) {
+  return out << "{" << operation.kind << "," << operation.service << "," << operation.host << ","
+             << operation.value << "}";
 }
-rc::Gen<std::vector<Op>> ops() {
-  return rc::gen::container<std::vector<Op>>(
+rc::Gen<std::vector<Operation>> random_operations() {
+  return rc::gen::container<std::vector<Operation>>(
       rc::gen::map(rc::gen::tuple(rc::gen::inRange(0, 9), rc::gen::inRange(0, 2), rc::gen::inRange(0, 5),
                                   rc::gen::inRange(0, 4)),
                    [](const std::tuple<int, int, int, int>& t) {
-                     return Op{std::get<0>(t), std::get<1>(t), std::get<2>(t), std::get<3>(t)};
+                     return Operation{std::get<0>(t), std::get<1>(t), std::get<2>(t), std::get<3>(t)};
                    }));
 }
 const char* const kStatus[] = {"passing", "warning", "critical", "passing"};
 
-using World = std::map<std::string, CatalogueHost>;
-// Changes one host of the world; node and id of host 4 are those of host 3 on another node.
-void change(World& world, const Op& op) {
-  const std::string key = std::to_string(op.host);
-  if (op.kind == 0 || !world.count(key)) {
-    CatalogueHost h =
-        catalogue_host("h" + std::to_string(std::min(op.host, 3)), op.value + 1, 1000 + op.host);
-    if (op.host == 4) h.node = "node-2";
-    h.status = kStatus[op.value];
-    world[key] = h;
-  } else if (op.kind == 1) {
-    world.erase(key);
-  } else if (op.kind <= 4) {
-    world[key].status = kStatus[op.value];
-  } else if (op.kind == 5) {
-    world[key].maintenance = op.value % 2 == 0;
-  } else if (op.kind == 6) {
-    world[key].meta["destination"] = std::to_string(op.value + 1);
-  } else if (op.kind == 7) {
-    world[key].address = op.value == 0 ? "" : "127.0.0." + std::to_string(op.value + 1);
-    world[key].node_address = "127.0.1." + std::to_string(op.host + 1);
+using Catalogue = std::map<std::string, CatalogueHost>;
+// Changes one host of the catalogue; host 4 has the id of host 3, on another node.
+void change(Catalogue& catalogue, const Operation& operation) {
+  const std::string key = std::to_string(operation.host);
+  if (operation.kind == 0 || !catalogue.count(key)) {
+    CatalogueHost h = catalogue_host("h" + std::to_string(std::min(operation.host, 3)), operation.value + 1,
+                                     1000 + operation.host);
+    if (operation.host == 4) h.node = "node-2";
+    h.status = kStatus[operation.value];
+    catalogue[key] = h;
+  } else if (operation.kind == 1) {
+    catalogue.erase(key);
+  } else if (operation.kind <= 4) {
+    catalogue[key].status = kStatus[operation.value];
+  } else if (operation.kind == 5) {
+    catalogue[key].maintenance = operation.value % 2 == 0;
+  } else if (operation.kind == 6) {
+    catalogue[key].meta["destination"] = std::to_string(operation.value + 1);
+  } else if (operation.kind == 7) {
+    catalogue[key].address = operation.value == 0 ? "" : "127.0.0." + std::to_string(operation.value + 1);
+    catalogue[key].node_address = "127.0.1." + std::to_string(operation.host + 1);
   } else {
-    world[key].warning = op.value % 2;
+    catalogue[key].warning = operation.value % 2;
   }
 }
-std::vector<CatalogueHost> hosts_of(const World& world) {
+std::vector<CatalogueHost> hosts_of(const Catalogue& catalogue) {
   std::vector<CatalogueHost> hosts;
-  for (const auto& [key, host] : world) hosts.push_back(host);
+  for (const auto& [key, host] : catalogue) hosts.push_back(host);
   return hosts;
 }
 std::string listed_id(const std::string& service, const CatalogueHost& h) {
   return service + "/" + h.node + "/" + h.id + "@" + h.meta.at("destination");
 }
 
-// The simple model: the newest whole answer of each service, host by host.
-RC_GTEST_PROP(MembershipProperty, AnySequenceOfAnswersLeavesTheListOfTheNewestOnes, ()) {
-  const auto steps = *ops();
+// Compares the list with a simple model: the newest valid answer of each service, host by host.
+RC_GTEST_PROP(MembershipProperty, ListMatchesTheNewestAnswersAfterAnySequence, ()) {
+  const auto steps = *random_operations();
   Pipeline p;
-  std::vector<World> worlds(kServices), answered(kServices);
-  std::vector<bool> told(kServices, false);
+  std::vector<Catalogue> catalogues(kServices), answered(kServices);
+  std::vector<bool> answered_once(kServices, false);
   int step = 0;
-  for (const Op& op : steps) {
-    const auto service = static_cast<std::uint32_t>(op.service);
-    change(worlds[service], op);
-    const std::string text = answer_text(p.settings.services[service].name, hosts_of(worlds[service]));
-    if (++step % 4 == 0) {  // an answer that breaks off, or names a host twice, changes nothing
-      const bool twice = step % 8 == 0 && !worlds[service].empty();
-      const std::string spoilt =
+  for (const Operation& operation : steps) {
+    const auto service = static_cast<std::uint32_t>(operation.service);
+    change(catalogues[service], operation);
+    const std::string text = answer_text(p.settings.services[service].name, hosts_of(catalogues[service]));
+    if (++step % 4 == 0) {  // a truncated answer, or one that lists a host twice, changes nothing
+      const bool twice = step % 8 == 0 && !catalogues[service].empty();
+      const std::string invalid =
           twice ? text.substr(0, text.rfind(']')) + "," + text.substr(1) : text.substr(0, text.size() / 2);
-      RC_ASSERT_THROWS_AS(p.take(service, spoilt), AnswerError);
+      RC_ASSERT_THROWS_AS(p.apply(service, invalid), AnswerError);
     } else {
-      p.take(service, text);
-      answered[service] = worlds[service];
-      told[service] = true;
+      p.apply(service, text);
+      answered[service] = catalogues[service];
+      answered_once[service] = true;
     }
-    std::map<std::string, std::string> want, have;
+    std::map<std::string, std::string> expected, actual;
     for (std::size_t s = 0; s < kServices; ++s) {
       for (const auto& [key, h] : answered[s]) {
         const bool down =
             h.maintenance || h.status == "critical" || (h.status == "warning" && h.warning == 0);
         const std::string address = h.address.empty() ? h.node_address : h.address;
-        want[listed_id(p.settings.services[s].name, h)] =
+        expected[listed_id(p.settings.services[s].name, h)] =
             (down ? "draining " : "ready ") + address + ":" + std::to_string(h.port);
       }
     }
     for (const auto& [id, e] : p.listed) {
-      have[id] = (e.condition == Condition::ready ? "ready " : "draining ") + e.address.text();
+      actual[id] = (e.condition == Condition::ready ? "ready " : "draining ") + e.address.text();
     }
-    RC_ASSERT(have == want);
-    RC_ASSERT(p.membership.complete() == (told[0] && told[1]));
+    RC_ASSERT(actual == expected);
+    RC_ASSERT(p.membership.complete() == (answered_once[0] && answered_once[1]));
   }
 }
 
-// With damping and the guard against losses at work: a drain is told with the very answer that has it, and is
-// not un-told before an answer has; and once nothing changes any more, the list becomes the newest answers'.
-RC_GTEST_PROP(MembershipProperty, ADrainIsToldAtOnceAndAllIsSettledInTheEnd, ()) {
-  const auto steps = *ops();
+// With flap damping and loss protection enabled: a drain takes effect with the answer that reports it and
+// lasts until an answer reports the host as ready, and the list converges to the newest answers.
+RC_GTEST_PROP(MembershipProperty, DrainsTakeEffectAtOnceAndTheListConverges, ()) {
+  const auto steps = *random_operations();
   ConsulSettings settings = consul_settings();
   settings.membership.max_loss_share = 0.5;
   settings.membership.damping = {.suppress = 2, .reuse = 1, .half_life = seconds(5), .max_wait = seconds(20)};
   Pipeline p(settings);
-  std::vector<World> worlds(kServices);
-  for (const Op& op : steps) {
+  std::vector<Catalogue> catalogues(kServices);
+  for (const Operation& operation : steps) {
     // Another process takes over.
-    if (op.value == 1) p.hand_over();
-    const auto service = static_cast<std::uint32_t>(op.service);
-    change(worlds[service], op);
-    p.take(service, hosts_of(worlds[service]), op.value != 3);
-    if (op.value == 2) p.pass(seconds(1));
+    if (operation.value == 1) p.hand_over();
+    const auto service = static_cast<std::uint32_t>(operation.service);
+    change(catalogues[service], operation);
+    p.apply(service, hosts_of(catalogues[service]), operation.value != 3);
+    if (operation.value == 2) p.advance(seconds(1));
     for (std::size_t s = 0; s < kServices; ++s) {
-      for (const auto& [key, h] : worlds[s]) {
+      for (const auto& [key, h] : catalogues[s]) {
         if (!h.maintenance && h.status != "critical") continue;
         RC_ASSERT(p.condition(listed_id(settings.services[s].name, h)) != "ready");
       }
     }
   }
-  p.pass(settings.membership.loss_hold + settings.membership.damping.max_wait + seconds(1));
+  p.advance(settings.membership.loss_hold + settings.membership.damping.max_wait + seconds(1));
   RC_ASSERT(p.membership.next_due() == Time::max());
   std::size_t hosts = 0;
   for (std::size_t s = 0; s < kServices; ++s) {
-    hosts += worlds[s].size();
-    for (const auto& [key, h] : worlds[s]) {
+    hosts += catalogues[s].size();
+    for (const auto& [key, h] : catalogues[s]) {
       const bool down = h.maintenance || h.status == "critical" || (h.status == "warning" && h.warning == 0);
       RC_ASSERT(p.condition(listed_id(settings.services[s].name, h)) == (down ? "draining" : "ready"));
     }
@@ -240,52 +242,52 @@
   RC_ASSERT(p.listed.size() == hosts);
 }
 
-// Bytes that are anything neither crash the reader nor change what it knows.
-TEST(AnswerReader, OutlivesGarbage) {
+// Arbitrary bytes neither crash the reader nor change its state.
+TEST(AnswerReader, SurvivesGarbage) {
   Pipeline p;
-  const std::string good = answer_text("bank", {catalogue_host("a", 1), catalogue_host("b", 1)});
-  p.take(0, good);
+  const std::string valid = answer_text("bank", {catalogue_host("a", 1), catalogue_host("b", 1)});
+  p.apply(0, valid);
   for (unsigned seed = 0; seed < 2000; ++seed) {
     std::mt19937 random(seed);
     try {
-      p.take(0, test::corrupted_copy(good, random));
+      p.apply(0, test::corrupted_copy(valid, random));
     } catch (const AnswerError&) {
     }
-    p.take(0, good);
+    p.apply(0, valid);
     ASSERT_EQ(p.condition("bank/node-1/a@1"), "ready") << seed;
   }
 }
 
-// --- Hard cases, one by one
-TEST(Membership, AnUnusableHostIsLeftAsItWasAndHarmsNoOther) {
+// --- Single cases
+TEST(Membership, AnUnusableHostStaysUnchangedAndAffectsNoOther) {
   Pipeline p;
   CatalogueHost a = catalogue_host("a", 1), b = catalogue_host("b", 1), c = catalogue_host("c", 1);
-  p.take(0, {a, b, c});
+  p.apply(0, {a, b, c});
   a.address = "partner.example";  // there is no DNS
   b.port = 70000;
   c.meta["destination"] = "bank-7";
   CatalogueHost d = catalogue_host("d", 1), e = catalogue_host("e", 1);
   d.port = 0;
-  p.take(0, {a, b, c, d, e});
+  p.apply(0, {a, b, c, d, e});
   EXPECT_EQ(p.readers[0]->unusable(), 4u);
   EXPECT_NE(p.readers[0]->first_problem().find("there is no DNS: 'partner.example'"), std::string::npos);
   for (const char* id : {"a", "b", "c", "e"}) {
     EXPECT_EQ(p.condition("bank/node-1/" + std::string(id) + "@1"), "ready") << id;
   }
   EXPECT_EQ(p.condition("bank/node-1/d@1"), "gone");
-  b.status = "critical";  // its health is read all the same
-  p.take(0, {a, b, c, d, e});
+  b.status = "critical";  // its health is used nevertheless
+  p.apply(0, {a, b, c, d, e});
   EXPECT_EQ(p.condition("bank/node-1/b@1"), "draining");
 }
 
-TEST(Membership, HalfOfAThousandsHostsUnreadableHarmNoneOfTheOthers) {
+TEST(Membership, ThousandsOfUnusableHostsAffectNoOther) {
   Pipeline p;
   std::vector<CatalogueHost> hosts;
   for (int i = 0; i < 5000; ++i) hosts.push_back(catalogue_host("h" + std::to_string(i), i / 4));
-  p.take(0, hosts);
+  p.apply(0, hosts);
   for (std::size_t i = 0; i < hosts.size(); i += 2) hosts[i].port = -1;
   hosts[1].status = "critical";
-  const MembershipChange change = p.take(0, hosts);
+  const MembershipChange change = p.apply(0, hosts);
   EXPECT_TRUE(change.log_lines.empty());
   EXPECT_EQ(p.readers[0]->unusable(), 2500u);
   EXPECT_LE(p.readers[0]->first_problem().size(), 200u);
@@ -294,48 +296,48 @@
   EXPECT_EQ(p.condition("bank/node-1/h2@0"), "ready");
 }
 
-TEST(Membership, ALossWithoutADrainWaitsForTheLeadersSecondWord) {
+TEST(Membership, ALossWithoutADrainNeedsConfirmationByTheLeader) {
   ConsulSettings settings = consul_settings();
   settings.membership.max_loss_share = 0.5;
   Pipeline p(settings);
   const auto a = catalogue_host("a", 1), b = catalogue_host("b", 1), c = catalogue_host("c", 1);
-  p.take(0, {a, b, c});
-  EXPECT_FALSE(p.take(0, {a, b}).query_again);  // one of three is believed
+  p.apply(0, {a, b, c});
+  EXPECT_FALSE(p.apply(0, {a, b}).query_again);  // one of three is within the limit
   EXPECT_EQ(p.condition("bank/node-1/c@1"), "gone");
   p.now += seconds(1);
-  const MembershipChange emptied = p.take(0, std::vector<CatalogueHost>{});
+  const MembershipChange emptied = p.apply(0, std::vector<CatalogueHost>{});
   EXPECT_TRUE(emptied.query_again);
   EXPECT_EQ(emptied.log_lines.size(), 1u);
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
   p.now += milliseconds(1);
-  p.take(0, std::vector<CatalogueHost>{},
-         false);  // of a server out of touch with its leader: it does not count
+  p.apply(0, std::vector<CatalogueHost>{},
+          false);  // from a server out of touch with the leader: no confirmation
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
   p.now += milliseconds(1);
-  p.take(0, std::vector<CatalogueHost>{a});  // one was there all along
+  p.apply(0, std::vector<CatalogueHost>{a});  // one of the two is listed again
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
-  EXPECT_EQ(p.condition("bank/node-1/b@1"), "gone");  // and the other has been missed twice
+  EXPECT_EQ(p.condition("bank/node-1/b@1"), "gone");  // the other was missing twice
   p.now += seconds(1);
-  p.take(0, std::vector<CatalogueHost>{});
-  p.pass(settings.membership.loss_hold);  // nobody says it again
+  p.apply(0, std::vector<CatalogueHost>{});
+  p.advance(settings.membership.loss_hold);  // without confirmation
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "gone");
 }
 
-// Guards the drain rule against the guard: what drained first is gone at once, however many there are.
-TEST(Membership, ALossAfterADrainIsBelievedAtOnce) {
+// Loss protection does not apply to hosts that drained first: they are removed at once, however many.
+TEST(Membership, ALossAfterADrainTakesEffectAtOnce) {
   ConsulSettings settings = consul_settings();
   settings.membership.max_loss_share = 0;
   Pipeline p(settings);
   CatalogueHost a = catalogue_host("a", 1), b = catalogue_host("b", 1);
-  p.take(0, {a, b});
+  p.apply(0, {a, b});
   a.status = "critical";
   b.maintenance = true;
-  p.take(0, {a, b});
-  EXPECT_FALSE(p.take(0, std::vector<CatalogueHost>{}).query_again);
+  p.apply(0, {a, b});
+  EXPECT_FALSE(p.apply(0, std::vector<CatalogueHost>{}).query_again);
   EXPECT_TRUE(p.listed.empty());
 }
 
-TEST(Membership, AHostThatComesAndGoesWaitsLongerAndLonger) {
+TEST(Membership, AFlappingHostIsSuppressed) {
   ConsulSettings settings = consul_settings();
   settings.membership.damping = {
       .suppress = 3, .reuse = 1.5, .half_life = seconds(15), .max_wait = seconds(60)};
@@ -343,13 +345,13 @@
   CatalogueHost a = catalogue_host("a", 1);
   const auto flip = [&] {
     a.status = "critical";
-    p.take(0, {a});
+    p.apply(0, {a});
     EXPECT_EQ(p.condition("bank/node-1/a@1"), "draining");
     p.now += milliseconds(10);
     a.status = "passing";
-    p.take(0, {a});
+    p.apply(0, {a});
   };
-  p.take(0, {a});
+  p.apply(0, {a});
   flip();
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
   flip();
@@ -357,13 +359,13 @@
   for (int i = 0; i < 3; ++i) flip();
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "draining");
   EXPECT_EQ(p.membership.stats().suppressed, 1u);
-  // Deregistered and back: what it did before is not forgotten.
-  p.take(0, std::vector<CatalogueHost>{});
-  p.take(0, {a});
+  // The penalty outlasts a deregistration.
+  p.apply(0, std::vector<CatalogueHost>{});
+  p.apply(0, {a});
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "draining");
   const Time due = p.membership.next_due();
   EXPECT_LE(due, p.now + seconds(60));
-  p.pass(due - p.now);
+  p.advance(due - p.now);
   EXPECT_EQ(p.condition("bank/node-1/a@1"), "ready");
 }
 
@@ -375,22 +377,22 @@
     CatalogueHost a = catalogue_host("a", 1), b = catalogue_host("b", 1);
     a.passing = b.passing = 2;
     a.warning = 0.5;
-    p.take(0, {a, b});
+    p.apply(0, {a, b});
     EXPECT_EQ(p.listed.at("bank/node-1/b@1").rate, rate_of == RateOf::host ? 80 : 20);
     a.status = "warning";
-    p.take(0, {a, b});
+    p.apply(0, {a, b});
     EXPECT_EQ(p.listed.at("bank/node-1/b@1").rate, rate_of == RateOf::host ? 50 : 12.5);
     a.status = "critical";
-    p.take(0, {a, b});
+    p.apply(0, {a, b});
     EXPECT_EQ(p.listed.at("bank/node-1/b@1").rate, rate_of == RateOf::host ? 40 : 20);
   }
 }
 
-// Nothing grows with the hosts that have ever been.
-TEST(Membership, RemembersOnlyWhatIsThere) {
+// Memory is bounded, however many hosts have come and gone.
+TEST(Membership, DropsTheStateOfRemovedHosts) {
   Pipeline p;
   for (int i = 0; i < 20000; ++i) {
-    p.take(0, {catalogue_host("h" + std::to_string(i), i % 100)});
+    p.apply(0, {catalogue_host("h" + std::to_string(i), i % 100)});
     p.now += milliseconds(100);
   }
   EXPECT_LE(p.membership.record_count(), 1u + 4096u);
@@ -398,14 +400,14 @@
   EXPECT_EQ(p.listed.size(), 1u);
 }
 
-// --- What is kept for the next life
+// --- The saved list
 class Store : public testing::Test {
  protected:
-  std::map<std::string, Instance> loaded(const ConsulSettings& settings, std::string* wrong = nullptr) {
+  std::map<std::string, Instance> loaded(const ConsulSettings& settings, std::string* error = nullptr) {
     std::map<std::string, Instance> out;
-    const std::string said =
+    const std::string result =
         ListStore(folder, 1 << 20).load(settings, p.names, [&](auto, const Instance& i) { out[i.id] = i; });
-    if (wrong != nullptr) *wrong = said;
+    if (error != nullptr) *error = result;
     return out;
   }
   Pipeline p;
@@ -413,65 +415,65 @@
   const std::string& folder = temporary_folder.path();
 };
 
-TEST_F(Store, GivesBackWhatWasKept) {
+TEST_F(Store, LoadsWhatWasSaved) {
   CatalogueHost a = catalogue_host("a", 1);
   a.meta["zone"] = "b";
   a.warning = 0.25;
   a.status = "warning";
-  p.take(0, {a, catalogue_host("b", 2)});
-  p.take(1, {catalogue_host("c", 3)});
+  p.apply(0, {a, catalogue_host("b", 2)});
+  p.apply(1, {catalogue_host("c", 3)});
   EXPECT_EQ(ListStore(folder, 1 << 20).save(p.membership, p.settings, p.names), "");
   std::map<std::string, Instance> before;
   p.membership.for_each_instance([&](auto, const Instance& i) { before[i.id] = i; });
   EXPECT_EQ(loaded(p.settings), before);
   ConsulSettings fewer = p.settings;
   fewer.services.erase(fewer.services.begin());
-  EXPECT_EQ(loaded(fewer).size(), 1u);  // a service that is no longer watched is left out
+  EXPECT_EQ(loaded(fewer).size(), 1u);  // a service that is no longer watched is skipped
 }
 
-TEST_F(Store, TakesADamagedFileForNone) {
-  p.take(0, {catalogue_host("a", 1), catalogue_host("b", 2)});
+TEST_F(Store, TreatsADamagedFileAsMissing) {
+  p.apply(0, {catalogue_host("a", 1), catalogue_host("b", 2)});
   ASSERT_EQ(ListStore(folder, 1 << 20).save(p.membership, p.settings, p.names), "");
   const std::string path = folder + "/consul.list";
   std::ifstream in(path, std::ios::binary);
-  const std::string whole((std::istreambuf_iterator<char>(in)), {});
-  for (std::size_t at = 0; at < whole.size(); ++at) {
-    std::string damaged = whole;
+  const std::string intact((std::istreambuf_iterator<char>(in)), {});
+  for (std::size_t at = 0; at < intact.size(); ++at) {
+    std::string damaged = intact;
     damaged[at] = static_cast<char>(damaged[at] ^ 0x20);
-    for (const std::string& text : {damaged, whole.substr(0, at)}) {
+    for (const std::string& text : {damaged, intact.substr(0, at)}) {
       std::ofstream(path, std::ios::binary | std::ios::trunc) << text;
-      std::string wrong;
-      const auto hosts = loaded(p.settings, &wrong);
+      std::string error;
+      const auto hosts = loaded(p.settings, &error);
       EXPECT_TRUE(hosts.empty() || hosts.size() == 2) << at;
-      EXPECT_EQ(wrong.empty(), hosts.size() == 2) << at;
+      EXPECT_EQ(error.empty(), hosts.size() == 2) << at;
     }
   }
 }
 
-TEST_F(Store, KeepsWithinItsRoomAndLeavesTheFileBefore) {
-  p.take(0, {catalogue_host("a", 1)});
+TEST_F(Store, KeepsThePreviousFileIfTheLimitIsExceeded) {
+  p.apply(0, {catalogue_host("a", 1)});
   ASSERT_EQ(ListStore(folder, 1 << 20).save(p.membership, p.settings, p.names), "");
   std::vector<CatalogueHost> many;
   for (int i = 0; i < 500; ++i) many.push_back(catalogue_host("h" + std::to_string(i * 7919), i));
-  p.take(0, many);
+  p.apply(0, many);
   EXPECT_NE(ListStore(folder, 512).save(p.membership, p.settings, p.names), "");
   EXPECT_EQ(loaded(p.settings).size(), 1u);
 }
 
 // --- Blocking queries
-AnswerHead good_head(std::uint64_t index) {
+AnswerHead ok_head(std::uint64_t index) {
   AnswerHead head;
   head.status = 200;
   head.index = index;
   return head;
 }
 
-TEST(WatchPlan, KeepsTheRulesOfTheIndex) {
+TEST(WatchPlan, FollowsTheRulesOfTheIndex) {
   ConsulSettings settings = consul_settings();
   settings.consistency = Consistency::stale;
   WatchPlan plan(settings, 7, milliseconds(50), seconds(1));
   EXPECT_EQ(plan.next_query().index, 0u);
-  EXPECT_EQ(plan.on_head(good_head(40)), WatchPlan::AnswerUse::usable);
+  EXPECT_EQ(plan.on_head(ok_head(40)), WatchPlan::AnswerUse::usable);
   plan.on_answer_read();
   EXPECT_EQ(plan.next_query().index, 40u);
   EXPECT_LE(plan.next_query().wait, settings.blocking_wait);
@@ -479,75 +481,75 @@
   AnswerHead error;
   error.status = 500;
   error.index = 3;
-  EXPECT_EQ(plan.on_head(error), WatchPlan::AnswerUse::rejected);  // an error's index counts for nothing
+  EXPECT_EQ(plan.on_head(error), WatchPlan::AnswerUse::rejected);  // the index of an error is ignored
   EXPECT_GT(plan.pause(), Time(0));
   EXPECT_EQ(plan.next_query().index, 40u);
   plan.on_failure();
   EXPECT_EQ(plan.next_query().index, 40u);
-  EXPECT_EQ(plan.on_head(good_head(39)), WatchPlan::AnswerUse::index_decreased);
+  EXPECT_EQ(plan.on_head(ok_head(39)), WatchPlan::AnswerUse::index_decreased);
   const WatchQuery again = plan.next_query();
   EXPECT_EQ(again.index, 0u);
   EXPECT_EQ(again.consistency, Consistency::normal);  // from the leader
   EXPECT_EQ(plan.pause(), Time(0));
-  EXPECT_EQ(plan.on_head(good_head(39)), WatchPlan::AnswerUse::usable);
+  EXPECT_EQ(plan.on_head(ok_head(39)), WatchPlan::AnswerUse::usable);
   plan.on_answer_read();
   EXPECT_EQ(plan.next_query().index, 39u);
   EXPECT_EQ(plan.next_query().consistency, Consistency::stale);
-  EXPECT_EQ(plan.on_head(good_head(0)),
-            WatchPlan::AnswerUse::index_decreased);  // never below 1, and that is less than 39
+  EXPECT_EQ(plan.on_head(ok_head(0)),
+            WatchPlan::AnswerUse::index_decreased);  // counts as 1, which is less than 39
   EXPECT_EQ(plan.next_query().index, 0u);
-  EXPECT_EQ(plan.on_head(good_head(0)), WatchPlan::AnswerUse::rejected);  // no Consul at all
+  EXPECT_EQ(plan.on_head(ok_head(0)), WatchPlan::AnswerUse::rejected);  // not a Consul agent
 }
 
-TEST(WatchPlan, AsksTheLeaderWhereAServerIsOutOfTouch) {
+TEST(WatchPlan, QueriesTheLeaderIfAServerIsOutOfTouch) {
   ConsulSettings settings = consul_settings();
   settings.consistency = Consistency::stale;
   WatchPlan plan(settings, 7, milliseconds(50), seconds(1));
   plan.next_query();
-  AnswerHead far = good_head(4);
-  far.last_contact = settings.max_stale + milliseconds(1);
-  EXPECT_EQ(plan.on_head(far), WatchPlan::AnswerUse::without_leader);
+  AnswerHead distant = ok_head(4);
+  distant.last_contact = settings.max_stale + milliseconds(1);
+  EXPECT_EQ(plan.on_head(distant), WatchPlan::AnswerUse::without_leader);
   plan.on_answer_read();
   EXPECT_EQ(plan.next_query().consistency, Consistency::normal);
-  AnswerHead headless = good_head(5);
-  headless.known_leader = false;
-  EXPECT_EQ(plan.on_head(headless), WatchPlan::AnswerUse::without_leader);
+  AnswerHead leaderless = ok_head(5);
+  leaderless.known_leader = false;
+  EXPECT_EQ(plan.on_head(leaderless), WatchPlan::AnswerUse::without_leader);
   plan.on_answer_read();
   plan.query_again();
   EXPECT_EQ(plan.next_query().index, 0u);
   EXPECT_TRUE(plan.from_leader());
 }
 
-TEST(WatchPlan, WaitsLongerAndNeverInStep) {
+TEST(WatchPlan, BacksOffExponentiallyWithJitter) {
   const ConsulSettings settings = consul_settings();
   WatchPlan one(settings, 1, milliseconds(50), seconds(1)), other(settings, 2, milliseconds(50), seconds(1));
-  bool apart = false;
+  bool differ = false;
   for (int i = 0; i < 40; ++i) {
     one.on_failure();
     other.on_failure();
-    apart = apart || one.pause() != other.pause();
+    differ = differ || one.pause() != other.pause();
     EXPECT_LE(one.pause(), seconds(1));
     EXPECT_GE(one.pause(), i < 5 ? milliseconds(25) : milliseconds(500));
   }
-  EXPECT_TRUE(apart);
-  AnswerHead turned_away;
-  turned_away.status = 429;
-  turned_away.retry_after = seconds(3);
-  one.on_head(turned_away);
+  EXPECT_TRUE(differ);
+  AnswerHead too_many_requests;
+  too_many_requests.status = 429;
+  too_many_requests.retry_after = seconds(3);
+  one.on_head(too_many_requests);
   EXPECT_GE(one.pause(), seconds(3));
 }
 
-TEST(QueryBudget, LetsSoManyGoInASecond) {
-  QueryRateLimiter budget(10);
-  std::size_t went = 0;
+TEST(QueryRateLimiter, LimitsTheQueriesPerSecond) {
+  QueryRateLimiter limiter(10);
+  std::size_t sent = 0;
   Time now = seconds(1000);
   const Time end = now + seconds(10);
   while (now < end) {
-    now = std::max(now, budget.reserve(now));
-    ++went;
+    now = std::max(now, limiter.reserve(now));
+    ++sent;
   }
-  EXPECT_GE(went, 100u);
-  EXPECT_LE(went, 112u);
+  EXPECT_GE(sent, 100u);
+  EXPECT_LE(sent, 112u);
 }
 
 }  // namespace
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -1,5 +1,5 @@
-// One owner at a time, with several relays as processes, a Consul, a partner, and faults between them. Times
-// are the lease's own, scaled down; what is waited for is waited for long.
+// At most one owner of a role at a time, with several relay processes, a Consul, a partner, and faults
+// between them. The lease's times are scaled down; the waits of the test are long.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -36,7 +36,7 @@
       std::count_if(h.store.begin(), h.store.end(), [kind](const auto& e) { return e.kind == kind; }));
 }
 
-// A lab whose relays are up and whose role is held, with work for the holder.
+// A lab with running relays and a held role.
 class Ownership : public testing::Test {
  protected:
   explicit Ownership(const LabSettings& settings = lab_settings()) : lab(settings) {
@@ -45,13 +45,13 @@
     owner = lab.holder();
     expect_work();
   }
-  // Whoever owns the role does its work.
+  // Creates a stale registration and expects the owner to remove it.
   void expect_work() {
     lab.leave_registration();
     EXPECT_TRUE(happens([&] { return lab.registrations_left() == 0; }));
   }
-  bool says(std::size_t relay, const std::string& text) { return lab.relay(relay).logged(text) > 0; }
-  std::string broken() {
+  bool logged(std::size_t relay, const std::string& text) { return lab.relay(relay).logged(text) > 0; }
+  std::string violation() {
     const History h = lab.history();
     return breach(h);
   }
@@ -65,34 +65,34 @@
   CalmOwnership() : Ownership(calm_settings()) {}
 };
 
-TEST_F(Ownership, AnOwnerPausedPastItsTtlDoesNothingWhenItWakes) {
+TEST_F(Ownership, AnOwnerPausedPastItsTtlStopsActingWhenItResumes) {
   lab.relay(owner).signal(SIGSTOP);
   ASSERT_TRUE(lab.waits_for_holder_other_than(owner));
   const std::size_t next = lab.holder();
   expect_work();
   lab.relay(owner).signal(SIGCONT);
-  EXPECT_TRUE(happens([&] { return says(owner, "acts no more"); })) << lab.relay(owner).log();
+  EXPECT_TRUE(happens([&] { return logged(owner, "acts no more"); })) << lab.relay(owner).log();
   expect_work();
   EXPECT_EQ(lab.holder(), next);
-  EXPECT_EQ(broken(), "");
+  EXPECT_EQ(violation(), "");
 }
 
-TEST_F(Ownership, AnOwnerCutFromConsulStopsAndStillDelivers) {
+TEST_F(Ownership, AnOwnerWithoutConsulStopsActingAndStillDelivers) {
   lab.to_consul(owner).set(PathFault::hold);
-  EXPECT_TRUE(happens([&] { return says(owner, "acts no more"); }));
+  EXPECT_TRUE(happens([&] { return logged(owner, "acts no more"); }));
   ASSERT_TRUE(lab.waits_for_holder_other_than(owner));
   EXPECT_TRUE(lab.offer_to(owner));
   EXPECT_TRUE(happens([&] { return lab.relay(owner).counter("delivered") == 1; }));
   expect_work();
   lab.to_consul(owner).set(PathFault::none);
   expect_work();
-  EXPECT_EQ(broken(), "");
+  EXPECT_EQ(violation(), "");
 }
 
-// The check was made in time, and the write arrives when another may own the role, or nobody.
-TEST_F(Ownership, AWriteThatIsLateOnItsWayIsRefused) {
+// The owner checks its lease in time, but the write arrives when another relay or none may own the role.
+TEST_F(Ownership, ADelayedWriteIsRefused) {
   std::size_t refused = 0;
-  for (int tries = 0; tries < 20 && refused == 0; ++tries) {
+  for (int attempt = 0; attempt < 20 && refused == 0; ++attempt) {
     owner = lab.holder();
     if (owner >= lab.size()) continue;
     lab.leave_registration();
@@ -106,11 +106,11 @@
     refused = count(lab.history(), Kind::refused);
   }
   EXPECT_GT(refused, 0u);
-  EXPECT_GT(lab.history().claims.size(), 1u);  // another has acted since
-  EXPECT_EQ(broken(), "");
+  EXPECT_GT(lab.history().claims.size(), 1u);  // another relay has acted since
+  EXPECT_EQ(violation(), "");
 }
 
-TEST_F(CalmOwnership, AConsulThatRestartsWithItsStateChangesNoOwner) {
+TEST_F(CalmOwnership, ARestartOfConsulWithItsStateKeepsTheOwner) {
   const std::size_t before = count(lab.history(), Kind::acquired);
   lab.consul().restart(true);
   std::this_thread::sleep_for(milliseconds(7000));  // past the TTL
@@ -121,7 +121,7 @@
   EXPECT_EQ(breach(h), "");
 }
 
-TEST_F(Ownership, AConsulThatHasLostItsStateHasAnOwnerAgain) {
+TEST_F(Ownership, ARestartOfConsulWithoutItsStateLeadsToANewOwner) {
   lab.consul().restart(false);
   ASSERT_TRUE(happens([&] {
     lab.leave_registration();
@@ -133,17 +133,17 @@
   EXPECT_EQ(breach(h), "");
 }
 
-TEST_F(Ownership, AKilledOwnerIsFollowedAndComesBackAsAnyOther) {
+TEST_F(Ownership, AKilledOwnerIsReplacedAndReturnsAsACandidate) {
   EXPECT_EQ(lab.relay(owner).end(SIGKILL), -SIGKILL);
   ASSERT_TRUE(lab.waits_for_holder_other_than(owner));
   expect_work();
   lab.relay(owner).start();
   expect_work();
-  EXPECT_EQ(broken(), "");
+  EXPECT_EQ(violation(), "");
 }
 
-// No lapse, no lock-delay: the next owner has the role as soon as it tries.
-TEST_F(CalmOwnership, AnOwnerThatStopsHandsTheRoleOver) {
+// A clean release causes neither a lapse nor a lock-delay: the next owner acquires the role at its next try.
+TEST_F(CalmOwnership, AnOwnerThatStopsReleasesTheRole) {
   EXPECT_EQ(lab.relay(owner).end(SIGTERM), 0);
   ASSERT_TRUE(lab.waits_for_holder_other_than(owner));
   const History h = lab.history();
@@ -151,33 +151,33 @@
   EXPECT_EQ(count(h, Kind::released), 1u);
   lab.relay(owner).start();
   expect_work();
-  EXPECT_EQ(broken(), "");
+  EXPECT_EQ(violation(), "");
 }
 
-TEST_F(CalmOwnership, TheCommandSaysWhoOwnsWhat) {
+TEST_F(CalmOwnership, TheOwnersCommandPrintsTheOwner) {
   const std::string command =
       std::string(FENNELLANE_PROGRAM) + " owners --settings " + lab.relay(0).folder() + "/settings.sexp 2>&1";
   FILE* const pipe = ::popen(command.c_str(), "r");
   ASSERT_NE(pipe, nullptr);
-  std::string said(1000, 0);
-  said.resize(std::fread(said.data(), 1, said.size(), pipe));
+  std::string output(1000, 0);
+  output.resize(std::fread(output.data(), 1, output.size(), pipe));
   EXPECT_EQ(::pclose(pipe), 0);
-  EXPECT_TRUE(said.starts_with("sweep")) << said;
-  EXPECT_NE(said.find("r" + std::to_string(owner)), std::string::npos) << said;
-  EXPECT_NE(said.find("token 1 session "), std::string::npos) << said;
+  EXPECT_TRUE(output.starts_with("sweep")) << output;
+  EXPECT_NE(output.find("r" + std::to_string(owner)), std::string::npos) << output;
+  EXPECT_NE(output.find("token 1 session "), std::string::npos) << output;
 }
 
-LabSettings upgradable() {
+LabSettings upgradable_settings() {
   LabSettings settings = calm_settings(2);
   settings.more = "(upgrade (start-ms 60000) (state-ms 60000) (taken-ms 60000))";
   return settings;
 }
 class OwnershipUpgraded : public Ownership {
  protected:
-  OwnershipUpgraded() : Ownership(upgradable()) {}
+  OwnershipUpgraded() : Ownership(upgradable_settings()) {}
 };
 
-// The new process goes on with the session and the token of the old one.
+// The new process keeps the session and the token of the old one.
 TEST_F(OwnershipUpgraded, AnUpgradeKeepsTheRole) {
   for (int i = 0; i < 3; ++i)
     ASSERT_EQ(upgrade::request_upgrade(lab.relay(owner).state_folder(), seconds(90)), 0)
@@ -189,7 +189,7 @@
   EXPECT_EQ(breach(h), "");
 }
 
-TEST(OwnershipStart, RelaysThatStartInOneInstantHaveOneOwner) {
+TEST(OwnershipStart, RelaysStartedAtTheSameTimeHaveOneOwner) {
   FleetLab lab(calm_settings(6));
   lab.start();
   ASSERT_TRUE(lab.waits_for_holder_other_than(lab.size()));
@@ -201,7 +201,7 @@
   EXPECT_EQ(breach(h), "");
 }
 
-TEST(OwnershipSchedules, KeepTheRulesUnderFaultsThatAreDrawn) {
+TEST(OwnershipSchedules, KeepTheRulesUnderRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     LabSettings settings = lab_settings();
     settings.seed = seed;
@@ -215,7 +215,7 @@
   }
 }
 
-// The checker on its own: a history that keeps the rules, and each rule broken in it.
+// The checker of histories: it accepts one that keeps the rules, and reports each rule broken in it.
 class Checker : public testing::Test {
  protected:
   Checker() {
@@ -237,7 +237,7 @@
   History h;
 };
 
-TEST_F(Checker, LetsAHistoryPassThatKeepsTheRules) {
+TEST_F(Checker, AcceptsAHistoryThatKeepsTheRules) {
   EXPECT_EQ(breach(h), "");
   ASSERT_EQ(failovers(h).size(), 1u);
   EXPECT_EQ(failovers(h)[0], milliseconds(370));
@@ -246,15 +246,15 @@
   h.store.erase(h.store.begin() + 2);
   EXPECT_NE(breach(h).find("that s1 held"), std::string::npos);
 }
-TEST_F(Checker, FindsALockTakenWithinTheLockDelay) {
+TEST_F(Checker, FindsALockAcquiredWithinTheLockDelay) {
   h.store[3].at = SteadyTime(milliseconds(1390));
   EXPECT_NE(breach(h).find("within the lock-delay"), std::string::npos);
 }
-TEST_F(Checker, FindsALateWriteThatWasTaken) {
+TEST_F(Checker, FindsALateWriteThatWasAccepted) {
   h.store[4].kind = Kind::written;
   EXPECT_NE(breach(h).find("does not hold the role"), std::string::npos);
 }
-TEST_F(Checker, FindsATokenOfTwoRelaysAndOneThatDoesNotGrow) {
+TEST_F(Checker, FindsATokenOfTwoRelaysAndOneThatDoesNotIncrease) {
   h.claims[1].token = 1;
   EXPECT_NE(breach(h).find("claimed by"), std::string::npos);
   h.store[3].lock_index = 1;
@@ -271,8 +271,8 @@
   EXPECT_NE(breach(h).find("still held"), std::string::npos);
 }
 
-// The planted bug: with a store that fences nothing, drawn schedules must find it.
-TEST(OwnershipSchedules, FindAWriteOfAnOldOwnerWhereNothingIsFenced) {
+// A deliberate bug: if the store does not fence writes, the schedules must detect it.
+TEST(OwnershipSchedules, FindAWriteOfAFormerOwnerWithoutFencing) {
   std::string found;
   for (std::uint64_t seed = 1; seed <= 20 && found.empty(); ++seed) {
     LabSettings settings = lab_settings();
@@ -290,31 +290,31 @@
   EXPECT_NE(found.find("a write was taken of a session that does not hold the role"), std::string::npos);
 }
 
-// --- The sweep's decisions, and what is read from Consul
+// --- The sweep's decisions, and parsing of Consul's answers
 fleet::Registration registration(const std::string& id, bool critical, std::uint64_t check_index) {
   return {"n", id, "service:" + id, 5, check_index, critical};
 }
 
-TEST(Sweep, RemovesOnlyWhatItHasSeenCriticalForLongEnoughWithoutAChange) {
+TEST(Sweep, RemovesOnlyRegistrationsSeenCriticalLongEnoughWithoutAChange) {
   fleet::SweepSettings settings;
   settings.stale_after = seconds(60);
   fleet::Sweep sweep(settings);
-  const auto look = [&](int at, const std::vector<fleet::Registration>& all) {
+  const auto find_stale = [&](int at, const std::vector<fleet::Registration>& all) {
     std::string ids;
     for (const auto& r : sweep.find_stale(seconds(at), all)) ids += r.id;
     return ids;
   };
   const auto a = registration("a", true, 7), b = registration("b", true, 8), c = registration("c", false, 9);
-  EXPECT_EQ(look(1000, {a, b, c}), "");
-  EXPECT_EQ(look(1059, {a, b, c}), "");
-  // One has passed in between: its check has another index, and its time begins anew.
-  EXPECT_EQ(look(1060, {a, registration("b", true, 12), c}), "a");
+  EXPECT_EQ(find_stale(1000, {a, b, c}), "");
+  EXPECT_EQ(find_stale(1059, {a, b, c}), "");
+  // One has passed in between: its check has another index, and its time starts anew.
+  EXPECT_EQ(find_stale(1060, {a, registration("b", true, 12), c}), "a");
   EXPECT_EQ(sweep.tracked_count(), 2u);
-  EXPECT_EQ(look(1061, {registration("b", true, 12)}), "");
-  EXPECT_EQ(sweep.tracked_count(), 1u);  // what is gone is forgotten
-  EXPECT_EQ(look(1120, {registration("b", true, 12)}), "b");
-  sweep.reset();  // a new holder goes by what it sees itself
-  EXPECT_EQ(look(2000, {registration("b", true, 12)}), "");
+  EXPECT_EQ(find_stale(1061, {registration("b", true, 12)}), "");
+  EXPECT_EQ(sweep.tracked_count(), 1u);  // a removed registration is no longer tracked
+  EXPECT_EQ(find_stale(1120, {registration("b", true, 12)}), "b");
+  sweep.reset();  // a new holder starts without observations
+  EXPECT_EQ(find_stale(2000, {registration("b", true, 12)}), "");
   settings.stale_after = seconds(0);
   settings.max_removals = 2;
   EXPECT_EQ(fleet::Sweep(settings).find_stale(seconds(1), {a, b, registration("d", true, 1)}).size(), 2u);
@@ -323,34 +323,34 @@
   EXPECT_EQ(fleet::Sweep(settings).find_stale(seconds(1), {unchecked}).size(), 0u);
 }
 
-TEST(FleetAgentText, ReadsOnlyWhatConsulWouldSay) {
+TEST(FleetAgentText, AcceptsOnlyWellFormedAnswersOfConsul) {
   EXPECT_EQ(session_id(R"({"ID":"adf4238a-882b-9ddc-4a9d-5b6758e4159e"})"),
             "adf4238a-882b-9ddc-4a9d-5b6758e4159e");
   for (const char* bad : {"", "{}", "[]", R"({"ID":[]})", R"({"ID":"a/../b"})", R"({"ID":"a b"})"})
     EXPECT_EQ(session_id(bad), "") << bad;
-  lease::KeyRead seen;
-  EXPECT_TRUE(read_key(R"([{"LockIndex":3,"Session":"s"}])", seen));
-  EXPECT_EQ(seen.holder, "s");
-  EXPECT_EQ(seen.lock_index, 3u);
+  lease::KeyRead read;
+  EXPECT_TRUE(read_key(R"([{"LockIndex":3,"Session":"s"}])", read));
+  EXPECT_EQ(read.holder, "s");
+  EXPECT_EQ(read.lock_index, 3u);
   for (const char* bad :
        {"", "[]", "{}", "[1]", R"([{"LockIndex":-1}])", R"([{"LockIndex":1,"Session":{}}])"})
-    EXPECT_FALSE(read_key(bad, seen)) << bad;
-  std::vector<fleet::Registration> all;
+    EXPECT_FALSE(read_key(bad, read)) << bad;
+  std::vector<fleet::Registration> registrations;
   for (const char* bad :
        {"", "{}", "[1]", R"([{"Node":3}])", R"([{"Node":{"Node":"n"},"Service":{"ID":{}}}])"})
-    EXPECT_FALSE(read_registrations(bad, all)) << bad;
-  all.clear();
+    EXPECT_FALSE(read_registrations(bad, registrations)) << bad;
+  registrations.clear();
   standin::CatalogueHost host;
   host.id = "r1";
   host.status = "critical";
   host.service_index = 4;
   host.check_index = 6;
-  EXPECT_TRUE(read_registrations("[" + standin::element_json("relays", host) + "]", all));
-  ASSERT_EQ(all.size(), 1u);
-  EXPECT_EQ(all[0].check, "service:r1");
-  EXPECT_EQ(all[0].service_index, 4u);
-  EXPECT_EQ(all[0].check_index, 6u);
-  EXPECT_TRUE(all[0].critical);
+  EXPECT_TRUE(read_registrations("[" + standin::element_json("relays", host) + "]", registrations));
+  ASSERT_EQ(registrations.size(), 1u);
+  EXPECT_EQ(registrations[0].check, "service:r1");
+  EXPECT_EQ(registrations[0].service_index, 4u);
+  EXPECT_EQ(registrations[0].check_index, 6u);
+  EXPECT_TRUE(registrations[0].critical);
 }
 
 }  // namespace
--- a/tests/refresh_test.cpp
+++ b/tests/refresh_test.cpp
@@ -1,5 +1,5 @@
-// The shared list: its decisions alone, many of them against a modelled store, and several relays as
-// processes with one discovery and one Consul.
+// The shared host list: single decisions, many relays against a modelled store, and several relay processes
+// with one discovery and one Consul.
 #include "refresh.hpp"
 
 #include <gtest/gtest.h>
@@ -27,187 +27,188 @@
   return nullptr;
 }
 
-HeartbeatRead beat(Token token, std::uint64_t number, std::uint64_t version,
-                   const std::string& source = "d") {
+HeartbeatRead heartbeat(Token token, std::uint64_t number, std::uint64_t version,
+                        const std::string& source = "d") {
   return {SharedHead{token, number, version, source}, false};
 }
-SharedListRead list(Token token, std::uint64_t version) {
+SharedListRead shared_list(Token token, std::uint64_t version) {
   return {true, {token, 1, version, "d"}, "v" + std::to_string(version)};
 }
 
-// One that follows the list of the holder with token 3, at version 7.
+// A relay that follows the list published with token 3, at version 7.
 Refresh follower() {
   Refresh r({}, 1);
   r.handle(seconds(0), RefreshStarted{"d", std::nullopt, false});
-  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(0), beat(3, 10, 7))), nullptr);
-  const auto first = r.handle(seconds(0), list(3, 7));
-  EXPECT_TRUE(find<ApplyList>(first) && find<ApplyList>(first)->cached);  // nobody knows how old it is
-  const auto second = r.handle(seconds(1), beat(3, 11, 7));
+  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(0), heartbeat(3, 10, 7))), nullptr);
+  const auto first = r.handle(seconds(0), shared_list(3, 7));
+  EXPECT_TRUE(find<ApplyList>(first) && find<ApplyList>(first)->cached);  // its age is unknown
+  const auto second = r.handle(seconds(1), heartbeat(3, 11, 7));
   EXPECT_TRUE(find<ApplyList>(second) && !find<ApplyList>(second)->cached);
   EXPECT_TRUE(r.follows_shared_list());
   return r;
 }
 
-TEST(Refresh, FollowsWhileBeatsComeAndWatchesDiscoveryItselfWhenTheyEnd) {
+TEST(Refresh, FollowsTheSharedListAndFallsBackToDiscoveryWithoutHeartbeats) {
   Refresh r = follower();
   EXPECT_EQ(find<StartDiscoveryWatch>(r.handle(seconds(5), RefreshTimerExpired{})), nullptr);
   const auto due = r.handle(seconds(8), RefreshTimerExpired{});  // 1 s + 4.5 s + at most 2 s
   ASSERT_NE(find<StartDiscoveryWatch>(due), nullptr);
-  EXPECT_EQ(find<StartDiscoveryWatch>(due)->from_version, 7u);  // the list is not asked for as a whole
-  // Back, once the shared list is as new as what discovery has told meanwhile.
+  EXPECT_EQ(find<StartDiscoveryWatch>(due)->from_version, 7u);  // the full list is not fetched again
+  // Follows again once the shared list is as new as the list from discovery.
   r.handle(seconds(9), DiscoveredList{9, "v9"});
-  EXPECT_EQ(find<StopDiscoveryWatch>(r.handle(seconds(9), beat(4, 1, 8))), nullptr);
-  EXPECT_NE(find<StopDiscoveryWatch>(r.handle(seconds(10), beat(4, 2, 9))), nullptr);
+  EXPECT_EQ(find<StopDiscoveryWatch>(r.handle(seconds(9), heartbeat(4, 1, 8))), nullptr);
+  EXPECT_NE(find<StopDiscoveryWatch>(r.handle(seconds(10), heartbeat(4, 2, 9))), nullptr);
 }
 
-TEST(Refresh, TakesNothingOfAnOldHolderOrOfAnotherDiscovery) {
+TEST(Refresh, IgnoresAFormerHolderAndAnotherDiscovery) {
   Refresh r = follower();
-  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), beat(2, 99, 30))), nullptr);
-  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), beat(5, 1, 30, "e"))), nullptr);
-  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(2), beat(5, 1, 30))), nullptr);
-  EXPECT_EQ(find<ApplyList>(r.handle(seconds(2), list(4, 31))), nullptr);  // written before, read after
+  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), heartbeat(2, 99, 30))), nullptr);
+  EXPECT_EQ(find<ReadSharedList>(r.handle(seconds(2), heartbeat(5, 1, 30, "e"))), nullptr);
+  EXPECT_NE(find<ReadSharedList>(r.handle(seconds(2), heartbeat(5, 1, 30))), nullptr);
+  EXPECT_EQ(find<ApplyList>(r.handle(seconds(2), shared_list(4, 31))), nullptr);  // of a former holder
 }
 
-TEST(Refresh, AHolderSharesOnlyWhatItHearsItself) {
+TEST(Refresh, AHolderPublishesOnlyWhileDiscoveryAnswers) {
   Refresh r = follower();
-  const auto acts = r.activate(seconds(2), 4, "s");
-  EXPECT_NE(find<StartDiscoveryWatch>(acts), nullptr);
-  EXPECT_EQ(find<Publish>(acts), nullptr);
-  const auto heard = r.handle(seconds(2), DiscoveryAnswered{});
-  ASSERT_NE(find<Publish>(heard), nullptr);
-  EXPECT_EQ(find<Publish>(heard)->text, "v7");
-  EXPECT_EQ(find<Publish>(heard)->session, "s");
+  const auto activated = r.activate(seconds(2), 4, "s");
+  EXPECT_NE(find<StartDiscoveryWatch>(activated), nullptr);
+  EXPECT_EQ(find<Publish>(activated), nullptr);
+  const auto answered = r.handle(seconds(2), DiscoveryAnswered{});
+  ASSERT_NE(find<Publish>(answered), nullptr);
+  EXPECT_EQ(find<Publish>(answered)->text, "v7");
+  EXPECT_EQ(find<Publish>(answered)->session, "s");
   r.handle(seconds(2), Published{4, Published::Result::accepted});
   const auto next = r.handle(seconds(4), RefreshTimerExpired{});
   ASSERT_NE(find<Publish>(next), nullptr);
-  EXPECT_FALSE(find<Publish>(next)->text);  // a beat alone
+  EXPECT_FALSE(find<Publish>(next)->text);  // a heartbeat without the list
   r.handle(seconds(4), Published{4, Published::Result::unknown});
   const auto again = r.handle(seconds(6), RefreshTimerExpired{});
   ASSERT_NE(find<Publish>(again), nullptr);
-  EXPECT_TRUE(find<Publish>(again)->text);  // what may not have come is sent once more
+  EXPECT_TRUE(find<Publish>(again)->text);  // written again, since the failed write may not have arrived
   r.handle(seconds(6), Published{4, Published::Result::accepted});
   EXPECT_EQ(find<Publish>(r.handle(seconds(8), RefreshTimerExpired{})),
-            nullptr);  // discovery is silent: no beat
+            nullptr);  // discovery is silent: no heartbeat
   EXPECT_EQ(find<StepDown>(r.handle(seconds(12), RefreshTimerExpired{})), nullptr);
   EXPECT_NE(find<StepDown>(r.handle(seconds(22), RefreshTimerExpired{})), nullptr);
 }
 
-// Five relays, a store that fences, a discovery whose list grows, and holders that change, pause and lose
-// touch.
-TEST(Refresh, KeepsEveryRelayInTouchAndNoneGoesBack) {
+// Five relays, a store with fencing, a discovery with new versions, and holders that change and lose
+// connectivity: every relay stays up to date, and no relay's version decreases.
+TEST(Refresh, EveryRelayStaysUpToDateAndNoVersionDecreases) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     const auto one_in = [&random](int n) { return std::uniform_int_distribution<int>(1, n)(random) == 1; };
     const RefreshSettings settings;
     struct Relay {
       Refresh refresh;
-      bool own = false, reached = true;  // its own watch; discovery and store can be reached
-      std::uint64_t own_version = 0, version = 0;
-      Time touch{};
+      bool watching = false, reached = true;  // watches discovery itself; reaches discovery and store
+      std::uint64_t discovered_version = 0, version = 0;
+      Time last_contact{};
     };
     std::vector<Relay> relays;
     for (std::uint64_t i = 0; i < 5; ++i) relays.push_back({Refresh(settings, seed * 10 + i)});
     std::uint64_t version = 1;
     Token token = 0;
     std::size_t holder = 5;
-    SharedHead stored_beat, stored_list;
+    SharedHead stored_head, stored_list;
     Time now = seconds(1);
-    std::function<void(std::size_t, std::vector<RefreshEffect>)> carry =
+    std::function<void(std::size_t, std::vector<RefreshEffect>)> execute =
         [&](std::size_t i, std::vector<RefreshEffect> effects) {
           Relay& r = relays[i];
           for (const RefreshEffect& e : effects) {
             if (const auto* start = std::get_if<StartDiscoveryWatch>(&e)) {
-              r.own = true;
-              r.own_version = start->from_version.value_or(0);
+              r.watching = true;
+              r.discovered_version = start->from_version.value_or(0);
             } else if (std::holds_alternative<StopDiscoveryWatch>(e)) {
-              r.own = false;
-            } else if (const auto* p = std::get_if<Publish>(&e)) {
-              const bool held = i == holder && p->head.token == token;
+              r.watching = false;
+            } else if (const auto* publish = std::get_if<Publish>(&e)) {
+              const bool holds_role = i == holder && publish->head.token == token;
               if (!r.reached) {
-                carry(i, r.refresh.handle(now, Published{p->head.token, Published::Result::unknown}));
+                execute(i, r.refresh.handle(now, Published{publish->head.token, Published::Result::unknown}));
                 continue;
               }
-              if (held) {
-                stored_beat = p->head;
-                if (p->text) stored_list = p->head;
+              if (holds_role) {
+                stored_head = publish->head;
+                if (publish->text) stored_list = publish->head;
               }
-              carry(i, r.refresh.handle(now, Published{p->head.token, held ? Published::Result::accepted
-                                                                           : Published::Result::refused}));
+              execute(i, r.refresh.handle(
+                             now, Published{publish->head.token, holds_role ? Published::Result::accepted
+                                                                            : Published::Result::refused}));
             } else if (std::holds_alternative<ReadSharedList>(e)) {
-              SharedListRead seen{r.reached && stored_list.token > 0, stored_list,
+              SharedListRead read{r.reached && stored_list.token > 0, stored_list,
                                   "v" + std::to_string(stored_list.version)};
-              carry(i, r.refresh.handle(now, seen));
-            } else if (const auto* take = std::get_if<ApplyList>(&e)) {
-              const std::uint64_t taken = std::stoull(take->text.substr(1));
-              ASSERT_GE(taken, r.version) << "seed " << seed;
-              r.version = taken;
+              execute(i, r.refresh.handle(now, read));
+            } else if (const auto* apply = std::get_if<ApplyList>(&e)) {
+              const std::uint64_t applied = std::stoull(apply->text.substr(1));
+              ASSERT_GE(applied, r.version) << "seed " << seed;
+              r.version = applied;
             }
           }
         };
     for (std::size_t i = 0; i < 5; ++i)
-      carry(i, relays[i].refresh.handle(now, RefreshStarted{"d", std::nullopt, false}));
-    constexpr int kSteps = 1200, kCalm = 600;  // of 100 ms; nothing fails in the last minute
+      execute(i, relays[i].refresh.handle(now, RefreshStarted{"d", std::nullopt, false}));
+    constexpr int kSteps = 1200, kFaultySteps = 600;  // of 100 ms; no faults in the last minute
     for (int step = 0; step < kSteps; ++step, now += milliseconds(100)) {
-      const bool calm = step >= kCalm;
+      const bool fault_free = step >= kFaultySteps;
       if (one_in(20)) ++version;
-      if (one_in(100) && !calm) {
-        if (holder < 5) carry(holder, relays[holder].refresh.deactivate(now));
+      if (one_in(100) && !fault_free) {
+        if (holder < 5) execute(holder, relays[holder].refresh.deactivate(now));
         holder = std::uniform_int_distribution<std::size_t>(0, 4)(random);
-        carry(holder, relays[holder].refresh.activate(now, ++token, "s"));
+        execute(holder, relays[holder].refresh.activate(now, ++token, "s"));
       }
       for (std::size_t i = 0; i < 5; ++i) {
         Relay& r = relays[i];
-        if (calm)
+        if (fault_free)
           r.reached = true;
         else if (one_in(r.reached ? 100 : 30))
           r.reached = !r.reached;
-        if (r.own && r.reached) {
-          r.touch = now;
-          carry(i, r.refresh.handle(now, DiscoveryAnswered{}));
-          if (r.own && r.own_version < version) {
-            r.own_version = version;
+        if (r.watching && r.reached) {
+          r.last_contact = now;
+          execute(i, r.refresh.handle(now, DiscoveryAnswered{}));
+          if (r.watching && r.discovered_version < version) {
+            r.discovered_version = version;
             ASSERT_GE(version, r.version);
             r.version = version;
-            carry(i, r.refresh.handle(now, DiscoveredList{version, "v" + std::to_string(version)}));
+            execute(i, r.refresh.handle(now, DiscoveredList{version, "v" + std::to_string(version)}));
           }
         }
         if (r.reached) {
-          HeartbeatRead seen;
-          if (stored_beat.token > 0) seen.head = stored_beat;
-          carry(i, r.refresh.handle(now, seen));
-          if (r.refresh.follows_shared_list() && stored_beat.version == r.version) r.touch = now;
+          HeartbeatRead read;
+          if (stored_head.token > 0) read.head = stored_head;
+          execute(i, r.refresh.handle(now, read));
+          if (r.refresh.follows_shared_list() && stored_head.version == r.version) r.last_contact = now;
         }
-        carry(i, r.refresh.handle(now, RefreshTimerExpired{}));
-        // Whoever has heard neither discovery nor the store watches discovery itself.
+        execute(i, r.refresh.handle(now, RefreshTimerExpired{}));
+        // A relay that has heard neither from discovery nor from the store watches discovery itself.
         const bool out_of_touch =
-            r.touch > Time(0) &&
-            now - r.touch > settings.stale_after + settings.fallback_spread + milliseconds(200);
-        ASSERT_TRUE(!out_of_touch || r.own) << "seed " << seed << " relay " << i << " step " << step;
+            r.last_contact > Time(0) &&
+            now - r.last_contact > settings.stale_after + settings.fallback_spread + milliseconds(200);
+        ASSERT_TRUE(!out_of_touch || r.watching) << "seed " << seed << " relay " << i << " step " << step;
       }
     }
-    std::size_t own = 0;
+    std::size_t watching = 0;
     for (const Relay& r : relays) {
-      own += r.own ? 1 : 0;
+      watching += r.watching ? 1 : 0;
       EXPECT_GE(r.version + 1, version) << "seed " << seed;
     }
     if (holder < 5) {
-      EXPECT_EQ(own, 1u) << "seed " << seed;
+      EXPECT_EQ(watching, 1u) << "seed " << seed;
     }
   }
 }
 
-TEST(WholeList, IsWhatTheChangesHaveMadeOfIt) {
+TEST(MergedHostList, AppliesChanges) {
   const wire::InstanceSettings boot = parse_config(test::config_json()).boot;
-  MergedHostList whole;
-  whole.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}}, 4, false), boot));
-  EXPECT_FALSE(whole.has_full_list());
-  whole.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}}, 5), boot));
-  whole.apply(parse_hosts(
+  MergedHostList merged;
+  merged.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}}, 4, false), boot));
+  EXPECT_FALSE(merged.has_full_list());
+  merged.apply(parse_hosts(test::list_json({{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}}, 5), boot));
+  merged.apply(parse_hosts(
       test::list_json({{"a", "127.0.0.1:1", 7, "gone"}, {"b", "127.0.0.1:3", 9, "draining", 12.5}}, 6, false),
       boot));
-  EXPECT_TRUE(whole.has_full_list());
-  // As text and back.
-  const HostList read = parse_hosts(hosts_json(whole.full_list(), boot), boot);
+  EXPECT_TRUE(merged.has_full_list());
+  // Serialized and parsed.
+  const HostList read = parse_hosts(hosts_json(merged.full_list(), boot), boot);
   EXPECT_EQ(read.version, 6u);
   EXPECT_TRUE(read.full);
   ASSERT_EQ(read.hosts.size(), 1u);
@@ -216,12 +217,12 @@
   EXPECT_EQ(read.hosts[0].destination, 9u);
   EXPECT_EQ(read.hosts[0].rate, 12.5);
   EXPECT_EQ(read.hosts[0].condition, starlinghook::Condition::draining);
-  HostEntry strange = read.hosts[0];
-  strange.zone = 99;  // of a name that no list has
-  EXPECT_GE(parse_hosts(hosts_json({1, true, {strange}}, boot), boot).hosts[0].zone, boot.zones.size());
+  HostEntry unknown_zone = read.hosts[0];
+  unknown_zone.zone = 99;  // a zone without a name
+  EXPECT_GE(parse_hosts(hosts_json({1, true, {unknown_zone}}, boot), boot).hosts[0].zone, boot.zones.size());
 }
 
-TEST(SharedList, IsReadOnlyAsItIsWritten) {
+TEST(SharedList, ReadsWhatIsWrittenAndRejectsOtherText) {
   Publish publish{"s", {4, 2, 7, "d"}, "{\"a\":1}"};
   const auto txn = parse_json_text(publish_transaction_json("r", "l", "b", publish));
   ASSERT_TRUE(txn && txn->size() == 3);
@@ -237,11 +238,11 @@
 }
 
 // --- Several relays
-// A discovery whose watches hear an empty line at short intervals, and each change as it is made.
-class Discovered {
+// A discovery that sends its watches an empty line at short intervals, and each change at once.
+class DiscoveryServer {
  public:
-  explicit Discovered(std::vector<test::HostLine> hosts) : hosts_(std::move(hosts)) {}
-  ~Discovered() {
+  explicit DiscoveryServer(std::vector<test::HostLine> hosts) : hosts_(std::move(hosts)) {}
+  ~DiscoveryServer() {
     stopping_ = true;
     server_.stop();
   }
@@ -278,15 +279,15 @@
         continue;
       }
       ++watches_;
-      int told = std::stoi(target.substr(target.rfind('=') + 1));
+      int sent_version = std::stoi(target.substr(target.rfind('=') + 1));
       asio::write(socket, asio::buffer(std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")),
                   error);
       while (!error && !stopping_) {
         std::string line = "\n";
         {
           const std::scoped_lock lock(mutex_);
-          if (told < version_) line = test::list_json(hosts_, version_, false) + "\n";
-          told = version_;
+          if (sent_version < version_) line = test::list_json(hosts_, version_, false) + "\n";
+          sent_version = version_;
         }
         std::ostringstream chunk;
         chunk << std::hex << line.size() << "\r\n" << line << "\r\n";
@@ -306,7 +307,7 @@
   standin::ThreadedServer server_{[this](const standin::ThreadedServer::Socket& s) { serve(*s); }};
 };
 
-standin::StoreRules quick_rules() {
+standin::StoreRules fast_store_rules() {
   standin::StoreRules rules;
   rules.least_ttl = milliseconds(100);
   return rules;
@@ -329,9 +330,9 @@
       relays.back()->start();
     }
   }
-  // One watches discovery, and every relay that is up delivers to what it has just told.
-  void expect_shared(const std::vector<std::size_t>& up, std::size_t most_watches = 1) {
-    EXPECT_TRUE(happens([&] { return discovery.watches() <= most_watches && discovery.watches() > 0; }))
+  // One relay watches discovery, and every relay that is up delivers to a host just added there.
+  void expect_shared(const std::vector<std::size_t>& up, std::size_t max_watches = 1) {
+    EXPECT_TRUE(happens([&] { return discovery.watches() <= max_watches && discovery.watches() > 0; }))
         << discovery.watches() << relays[up[0]]->log();
     const int destination = next_++;
     discovery.add({"h" + std::to_string(destination), partner.address(), destination});
@@ -368,25 +369,25 @@
   }
 
   test::Server partner{[](const test::Request&) { return test::answer("200 OK"); }};
-  Discovered discovery{{{"h7", partner.address(), 7}}};
-  standin::ConsulAgent consul{quick_rules()};
+  DiscoveryServer discovery{{{"h7", partner.address(), 7}}};
+  standin::ConsulAgent consul{fast_store_rules()};
   harness::ProxyLoop loop;
   std::vector<std::unique_ptr<harness::FaultProxy>> paths;
   std::vector<std::unique_ptr<test::RelayProgram>> relays;
   int next_ = 100;
 };
 
-TEST_F(SharedListFleet, OneWatchesDiscoveryAndAllHearWhatItTells) {
+TEST_F(SharedListFleet, OneWatchesDiscoveryAndAllGetItsChanges) {
   expect_shared(all_but(kRelays));
   const std::size_t fetches = discovery.fetches();
-  // All killed at once: each begins with the shared list, maybe old, and its watch where that ends.
+  // All killed at once: each starts with the shared list, possibly outdated, and watches from its version.
   for (const auto& relay : relays) relay->end(SIGKILL);
   for (const auto& relay : relays) relay->start();
   expect_shared(all_but(kRelays));
   EXPECT_EQ(discovery.fetches(), fetches);
 }
 
-TEST_F(SharedListFleet, AnotherWatchesWhereTheOneIsKilledOrPaused) {
+TEST_F(SharedListFleet, AnotherTakesOverIfTheHolderIsKilledOrPaused) {
   expect_shared(all_but(kRelays));
   const std::size_t first = holder();
   ASSERT_LT(first, kRelays);
@@ -407,14 +408,14 @@
   EXPECT_EQ(relays[second]->logged("acts no more"), 1u);
 }
 
-TEST_F(SharedListFleet, AHolderThatCannotHearDiscoveryGivesTheRoleUp) {
+TEST_F(SharedListFleet, AHolderWithoutDiscoveryGivesTheRoleUp) {
   expect_shared(all_but(kRelays));
   const std::size_t first = holder();
   ASSERT_LT(first, kRelays);
   paths[first]->set(harness::PathFault::refuse);
   EXPECT_TRUE(happens([&] { return relays[first]->logged("gives the role up") > 0; }))
       << relays[first]->log();
-  expect_shared(all_but(kRelays));  // the one without discovery too
+  expect_shared(all_but(kRelays));  // including the one without discovery
 }
 
 TEST_F(SharedListFleet, WithoutConsulEachWatchesDiscoveryItself) {
