--- a/src/admission/connection_table.cpp
+++ b/src/admission/connection_table.cpp
@@ -7,25 +7,25 @@
 void ConnectionTable::remove_from_order(ClientId id, const Client& client) {
   if (client.state != State::busy) by_age(client.state).erase({client.since, id});
 }
-void ConnectionTable::set_state(ClientId id, Client& client, State to, Time since) {
+void ConnectionTable::set_state(ClientId id, Client& client, State state, Time since) {
   remove_from_order(id, client);
-  client.state = to;
+  client.state = state;
   client.since = since;
-  if (to != State::busy) by_age(to).emplace(since, id);
+  if (state != State::busy) by_age(state).emplace(since, id);
 }
 
 void ConnectionTable::add(ClientId id, Time now) {
-  const auto [it, fresh] = clients_.emplace(id, Client{State::accepted, now, false});
-  if (fresh) by_age(State::accepted).emplace(now, id);
+  const auto [it, added] = clients_.emplace(id, Client{State::accepted, now, false});
+  if (added) by_age(State::accepted).emplace(now, id);
 }
 
 void ConnectionTable::request_started(ClientId id, Time now) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
-  // Guards against one that dribbles: its first request counts from when it was accepted, a later one from
-  // its first byte.
-  const State standing = it->second.state;
-  if (standing == State::accepted || standing == State::partial) return;
+  // The first request is timed from when the connection was accepted, a later one from its first byte;
+  // further bytes must not restart the time, or a client could hold a slot by sending slowly.
+  const State state = it->second.state;
+  if (state == State::accepted || state == State::partial) return;
   set_state(id, it->second, State::partial, now);
 }
 
@@ -35,11 +35,11 @@
   }
 }
 
-void ConnectionTable::mark_idle(ClientId id, Time now, bool handed_in) {
+void ConnectionTable::mark_idle(ClientId id, Time now, bool submitted) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  if (handed_in && !client.has_submitted) {
+  if (submitted && !client.has_submitted) {
     client.has_submitted = true;
     ++submitting_;
   }
@@ -59,22 +59,22 @@
 }
 
 std::optional<ClientId> ConnectionTable::eviction_candidate(Time now) const {
-  // The longest as it is of these, if it has been so for long enough.
-  const auto oldest = [&](std::initializer_list<State> of, Time age) -> std::optional<ClientId> {
+  // The connection that has been longest in one of these states, if for at least `min_age`.
+  const auto longest_in = [&](std::initializer_list<State> states, Time min_age) -> std::optional<ClientId> {
     std::optional<std::pair<Time, ClientId>> found;
-    for (const State standing : of) {
-      const ByAge& all = by_age(standing);
-      if (all.empty() || all.begin()->first + age > now) continue;
-      if (!found || *all.begin() < *found) found = *all.begin();
+    for (const State state : states) {
+      const ByAge& connections = by_age(state);
+      if (connections.empty() || connections.begin()->first + min_age > now) continue;
+      if (!found || *connections.begin() < *found) found = *connections.begin();
     }
     if (!found) return std::nullopt;
     return found->second;
   };
-  if (const auto id = oldest({State::closing}, Time(0))) return id;
-  if (const auto id = oldest({State::accepted, State::partial}, limits_.min_silence)) return id;
-  if (const auto id = oldest({State::idle_without_message}, limits_.min_silence)) return id;
-  if (const auto id = oldest({State::idle_submitter}, limits_.min_silence)) return id;
-  return oldest({State::accepted}, limits_.min_age);
+  if (const auto id = longest_in({State::closing}, Time(0))) return id;
+  if (const auto id = longest_in({State::accepted, State::partial}, limits_.min_silence)) return id;
+  if (const auto id = longest_in({State::idle_without_message}, limits_.min_silence)) return id;
+  if (const auto id = longest_in({State::idle_submitter}, limits_.min_silence)) return id;
+  return longest_in({State::accepted}, limits_.min_age);
 }
 
 std::optional<ClientId> ConnectionTable::surplus_idle() const {
--- a/src/admission/connection_table.hpp
+++ b/src/admission/connection_table.hpp
@@ -1,11 +1,12 @@
-// Which clients' connections may stay: the places that there are, who holds one, and who makes way. Neither
-// sockets nor a clock; every step costs the logarithm of the places at most.
+// Decides which client connections stay open: tracks the connection slots, their use, and which connection is
+// evicted. Pure state machine: performs no I/O and reads no clock. Each operation costs at most O(log n) in
+// the number of connections.
 //
-// Two bounds are watched. All connections together fill the relay's own places. Those over which messages are
-// handed in are held by the callers' side too, which has only so many for one relay (a third of the
-// descriptors, where the platform says): once it has used them up, by connections that asked once and stay,
-// nobody can hand anything in, though the relay has places left. So of these the longest idle close early,
-// before that bound is met.
+// There are two limits. All connections together must fit the relay's own slots. Connections that submit
+// messages are also limited at the callers' side, which has only a fixed number for each relay (a third of
+// the descriptors, according to the platform): once these are used up by connections that submitted one
+// message and stay open, nobody can submit a message although the relay has free slots. The longest idle of
+// them are therefore closed early, before that limit is reached.
 #pragma once
 
 #include <array>
@@ -19,36 +20,37 @@
 
 namespace fennellane::admission {
 
-using ClientId = std::uint64_t;  // of a connection
+using ClientId = std::uint64_t;  // identifies a connection
 
 struct ConnectionTableLimits {
   std::size_t max_connections = 0;  // for all connections
-  std::size_t max_submitting =
-      0;               // of these, for connections that have handed in a message, before idle ones close
-  Time min_silence{};  // who has said nothing, or half of something, or is idle, makes way after this
-  Time min_age{};      // and where nobody else is left, who came last after this
+  // of these, connections that have submitted a message, before idle ones are closed
+  std::size_t max_submitting = 0;
+  // a connection that has sent nothing, or part of a request, or is idle may be evicted after this
+  Time min_silence{};
+  Time min_age{};  // if there is no other candidate, a new connection may be evicted after this
 };
 
 class ConnectionTable {
  public:
   explicit ConnectionTable(const ConnectionTableLimits& limits) : limits_(limits) {}
 
-  // A connection's life, in any order after `enter`. Each of them is ignored for one that is not here.
-  void add(ClientId client, Time now);  // accepted; no whole request has come yet
-  void request_started(ClientId client,
-                       Time now);   // a part of a later request has come; more of it changes nothing
-  void mark_busy(ClientId client);  // holds its place: something has to be read or written first
-  void mark_idle(ClientId client, Time now, bool handed_in);  // between requests, the newest one answered
-  void mark_closing(ClientId client, Time now);  // its last answer is out; it only has to be read
+  // Events of a connection, in any order after `add`. Each is ignored for an unknown connection.
+  void add(ClientId client, Time now);  // accepted; no complete request received yet
+  // the first bytes of a later request; further bytes change nothing
+  void request_started(ClientId client, Time now);
+  void mark_busy(ClientId client);  // cannot be evicted: a request is being processed or an answer written
+  void mark_idle(ClientId client, Time now, bool submitted);  // between requests, the last one answered
+  void mark_closing(ClientId client, Time now);  // its last answer has been sent and is being read
   void remove(ClientId client);
 
   std::size_t size() const { return clients_.size(); }
-  std::size_t submitting() const { return submitting_; }  // that have handed in a message and not left
-  // Whether another can be accepted and one place is left.
+  std::size_t submitting() const { return submitting_; }  // open connections that have submitted a message
+  // Whether another connection can be accepted with one slot left over.
   bool has_room() const { return clients_.size() + 1 < limits_.max_connections; }
-  // The one that makes way where there is no room; none: all are of use, or came just now.
+  // The connection to evict if there is no room; none: all are in use or too new.
   std::optional<ClientId> eviction_candidate(Time now) const;
-  // One that closes though there is room, since too many hold a connection for a message to come.
+  // A connection to close although there is room, because too many submitting connections are idle.
   std::optional<ClientId> surplus_idle() const;
 
  private:
@@ -60,14 +62,14 @@
     Time since{};
     bool has_submitted = false;
   };
-  void set_state(ClientId id, Client& client, State to, Time since);
+  void set_state(ClientId id, Client& client, State state, Time since);
   void remove_from_order(ClientId id, const Client& client);
-  ByAge& by_age(State standing) { return by_age_[static_cast<std::size_t>(standing)]; }
-  const ByAge& by_age(State standing) const { return by_age_[static_cast<std::size_t>(standing)]; }
+  ByAge& by_age(State state) { return by_age_[static_cast<std::size_t>(state)]; }
+  const ByAge& by_age(State state) const { return by_age_[static_cast<std::size_t>(state)]; }
 
   const ConnectionTableLimits limits_;
   std::unordered_map<ClientId, Client> clients_;
-  std::array<ByAge, kOrderedStates> by_age_;  // the longest as they are first
+  std::array<ByAge, kOrderedStates> by_age_;  // longest in their state first
   std::size_t submitting_ = 0;
 };
 
--- a/src/core/admission_outcome.hpp
+++ b/src/core/admission_outcome.hpp
@@ -1,5 +1,5 @@
-// How the admission of a request ended, and how a connection of a client did: in more detail than the client
-// is told, for the flight record.
+// How the admission of a request and the connection of a client ended, in more detail than the client is
+// told; kept in the flight record.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 enum class AdmissionOutcome : std::uint8_t {
   accepted,
-  duplicate,     // the id is held already, or ended just now
-  held_limit,    // as many messages are held as may be
-  notice_limit,  // as many ended messages wait for their notice to be taken
+  duplicate,     // the id is held, or its message ended recently
+  held_limit,    // the limit on held messages is reached
+  notice_limit,  // the limit on ended messages with an unaccepted notice is reached
   journal_full,
-  no_host_list,         // no list of hosts yet
+  no_host_list,         // no host list has been received yet
   unknown_destination,  // no such destination
-  client_gone,          // its client had gone
+  client_gone,          // the client had closed its connection
   malformed,
-  other,            // /up and the like
-  load_shed,        // turned away before work was put into it
+  other,            // requests that submit no message, such as /up
+  load_shed,        // rejected before any work was done for it
   storage_failing,  // the journal cannot be written
 };
 constexpr std::size_t kAdmissionOutcomeCount = 12;
 
-// How a connection of a client ended.
+// How a client's connection ended.
 enum class CloseReason : std::uint8_t {
-  client_closed,    // closed, or broke
-  idle_timeout,     // for too long
-  request_timeout,  // half a request, for too long
-  answer_timeout,   // its answer, for too long
-  evicted,          // for another
-  answer_sent,      // after an answer that ends it
+  client_closed,    // closed or broken by the client
+  idle_timeout,     // idle for too long
+  request_timeout,  // a request was incomplete for too long
+  answer_timeout,   // the client did not read its answer in time
+  evicted,          // closed to admit another connection
+  answer_sent,      // closed after its last answer
 };
 constexpr std::size_t kCloseReasonCount = 6;
 
--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -1,4 +1,4 @@
-// The cluster: the upstream hosts that a membership source names, in terms of no protocol.
+// The cluster: the upstream hosts that a membership source lists, independent of any protocol.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
   bool operator==(const Address&) const = default;
 };
 
-// One host as its source tells it.
+// One host as reported by its source.
 struct HostEntry {
   std::string id;
   Address address;
-  std::uint32_t zone = 0;  // positions in the settings' lists; past their end if unknown
+  std::uint32_t zone = 0;  // position in the settings' list; past its end if unknown
   std::uint32_t kind = 0;
   std::uint32_t destination = 0;
   double rate = 0;
--- a/src/core/cluster_source.hpp
+++ b/src/core/cluster_source.hpp
@@ -1,4 +1,4 @@
-// Where the cluster's list comes from: the platform's discovery, Consul, or the settings themselves.
+// Source of the cluster's host list: the platform's discovery, Consul, or the settings.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,16 @@
 
 class ClusterSource {
  public:
-  // `cached`: known from an earlier life and maybe old.
+  // `cached`: saved by a previous process and possibly out of date.
   using OnHostList = std::function<void(HostList, bool cached)>;
   virtual ~ClusterSource() = default;
   virtual void start() = 0;
-  // No list comes after this. What it has open ends by itself.
+  // No list is delivered after this call. Open connections end on their own.
   virtual void stop() = 0;
-  // The process is about to end: what the source holds of the relay's in other systems is given back, or,
-  // where the relay `returns` soon, shown as out.
+  // Called before the process exits: deregisters the relay from other systems or, if the relay `returns`
+  // soon, marks it as offline there.
   virtual void leave(bool returns) { (void)returns; }
-  // Whether the relay serves, as /up says.
+  // Called when the relay is ready to serve, as /up reports.
   virtual void set_ready() {}
 };
 
--- a/src/core/limits.hpp
+++ b/src/core/limits.hpp
@@ -1,4 +1,4 @@
-// Every size, count and time that bounds the relay. Filled once at start and handed down.
+// All sizes, counts and times that bound the relay. Computed once at startup and passed down.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 namespace fennellane {
 
-using Time = std::chrono::microseconds;  // a point on the steady clock, or a span
+using Time = std::chrono::microseconds;  // a point on the steady clock, or a duration
 
 struct Limits {
   // Sizes, in bytes.
@@ -19,107 +19,117 @@
   std::size_t max_idempotency_key_size = 255;
   std::size_t read_ring_size = 8 * kKiB;
   std::size_t answer_ring_size = 4 * kKiB;
-  std::size_t answer_socket_buffer = 16 * kKiB;   // the system's, of answers that a client has not taken
-  std::size_t call_ring_size = 64 * kKiB + kKiB;  // one call: the largest body, and a head
+  // the socket's send buffer, for answers that the client has not read
+  std::size_t answer_socket_buffer = 16 * kKiB;
+  std::size_t call_ring_size = 64 * kKiB + kKiB;  // one call: the largest body and its head
   std::size_t max_discovery_line = 4 * kMiB;
   std::size_t max_notice_batch = 32 * kKiB;
-  std::uint64_t max_journal_file = 0;  // one file; while it is compacted there are two
-  std::uint64_t max_host_list_file =
-      0;  // the list kept for a start without its source; two while it is written
-  std::size_t max_consul_answer = 32 * kMiB;  // one answer, read piece by piece
-  std::size_t max_consul_host = 64 * kKiB;    // one host's part of it
-  std::size_t max_fleet_answer = 8 * kMiB;    // the relays' own registrations, or all roles' keys
-  // The list that is shared: Consul takes 512 KiB in one transaction, and a third of it is what base64 adds.
+  std::uint64_t max_journal_file = 0;  // size of one file; a compaction has two at once
+  // the host list saved for a start without its source; saving has two files at once
+  std::uint64_t max_host_list_file = 0;
+  std::size_t max_consul_answer = 32 * kMiB;  // one answer, parsed incrementally
+  std::size_t max_consul_host = 64 * kKiB;    // one host's entry in an answer
+  std::size_t max_fleet_answer = 8 * kMiB;    // the relays' own registrations, or the keys of all roles
+  // The shared host list: Consul accepts 512 KiB in one transaction, and base64 adds a third to the list's
+  // size.
   std::size_t max_fleet_list = 360 * kKiB;
-  std::size_t max_degraded_endpoints = 256;   // endpoints in one relay's report of what rests
-  std::size_t max_consul_value = 512 * kKiB;  // one key's value, as Consul bounds it
+  std::size_t max_degraded_endpoints = 256;   // in one relay's report
+  std::size_t max_consul_value = 512 * kKiB;  // Consul's limit on the value of one key
 
   // Counts.
   std::size_t max_downstream_connections = 0;
-  std::size_t max_submitting_connections = 0;  // of these, over which messages came, before idle ones close
+  // of these, that have submitted a message, before idle ones are closed
+  std::size_t max_submitting_connections = 0;
   std::size_t max_upstream_connections = 0;
-  std::size_t max_held = 0;                // messages that are owed an end
-  std::size_t max_held_and_unnoticed = 0;  // these and the ended ones whose notice has not been taken
+  std::size_t max_held = 0;                // messages without a final result
+  std::size_t max_held_and_unnoticed = 0;  // these plus ended messages whose notice has not been accepted
   std::size_t max_ended_ids = 4096;
   std::uint32_t max_destination = 65535;
   std::size_t max_consul_hosts = 20000;  // of one service
-  unsigned max_interim_answers = 32;     // in front of one answer
-  unsigned max_accepts_per_turn = 32;    // connections accepted before the loop looks at others
-  unsigned max_requests_per_turn = 4;    // of one connection, likewise
-  std::size_t min_linger_progress =
-      2048;  // bytes of answers that a client takes in `linger`, where they wait
+  unsigned max_interim_answers = 32;     // before one final answer
+  unsigned max_accepts_per_turn = 32;    // connections accepted per pass of the event loop
+  unsigned max_requests_per_turn = 4;    // per connection and pass
+  // bytes of pending answers that a client must read within `linger_timeout`
+  std::size_t min_linger_progress = 2048;
 
   // Times.
-  // From a request's first byte to its last, and for a connection's first one from when it was accepted.
-  // Guards the places against clients that connect and say nothing, or half of something.
+  // From a request's first byte to its last; for a connection's first request, from when it was accepted.
+  // Without it, clients that send nothing or half a request would occupy all connection slots.
   Time request_timeout = std::chrono::milliseconds(2500);
   Time downstream_idle_timeout = std::chrono::minutes(2);
-  // Where places are short, those that have said nothing yet, or half of something, or are idle, make way.
+  // When connection slots run short, connections that have sent nothing, or part of a request, or are idle,
+  // may be evicted after this.
   Time min_eviction_silence = std::chrono::milliseconds(250);
-  Time min_eviction_age =
-      std::chrono::milliseconds(50);              // and where nothing else is left, a new one after this
-  Time linger_timeout = std::chrono::seconds(2);  // of a closing connection, so that its answer is read
+  // if there is no other candidate, a new connection may be evicted after this
+  Time min_eviction_age = std::chrono::milliseconds(50);
+  // of a closing connection, for the client to read its answer
+  Time linger_timeout = std::chrono::seconds(2);
   Time connect_timeout{};
   Time upstream_idle_timeout{};
-  Time delivery_deadline_margin =
-      std::chrono::milliseconds(20);                   // a delivery so close to its deadline may be too late
-  Time answer_timeout = std::chrono::seconds(1);       // from a host's answer's first byte to its last
-  Time refusal_retry_after = std::chrono::seconds(1);  // advice with 503, where the settings allow any
+  // an answer this close to the deadline may be too late
+  Time delivery_deadline_margin = std::chrono::milliseconds(20);
+  Time answer_timeout = std::chrono::seconds(1);       // from the first byte of a host's answer to its last
+  Time refusal_retry_after = std::chrono::seconds(1);  // Retry-After of a 503, if the settings allow it
   Time accept_backoff = std::chrono::milliseconds(10);
-  // After a call that failed for want of something here, before the same call again.
+  // Before a system call that failed for lack of a local resource is repeated.
   Time local_retry_delay = std::chrono::milliseconds(5);
-  // A listener, or a state folder that is missing or not permitted, is waited for so long at a start.
+  // How long startup waits for its listener, and for a state folder that is missing or not permitted.
   Time startup_wait = std::chrono::seconds(10);
-  // Between tries at storage that fails.
+  // Between attempts to write to failing storage.
   Time storage_retry_min = std::chrono::milliseconds(20);
   Time storage_retry_max = std::chrono::seconds(1);
-  // For the platform's answer to a notice. It answers at once, so a connection that says nothing for the
-  // least time is taken for broken and replaced, before the end that it was to tell is overdue; a platform
-  // that is slow is given up to the most.
+  // For the platform's answer to a notice. The platform normally answers at once, so a connection that is
+  // silent for the minimum is treated as broken and replaced before the report of the end is overdue; for a
+  // slow platform the timeout grows up to the maximum.
   Time notice_timeout_min = std::chrono::milliseconds(100);
   Time notice_timeout_max = std::chrono::seconds(2);
-  // Between tries to tell the platform, whose agent stands on the same machine: an end is overdue 300 ms
-  // behind its message's time.
+  // Between attempts to notify the platform, whose agent runs on the same machine: the report of an end is
+  // overdue 300 ms after the message's deadline.
   Time notice_retry_min = std::chrono::milliseconds(20);
   Time notice_retry_max = std::chrono::milliseconds(100);
-  Time agent_write_timeout = std::chrono::seconds(2);  // Consul's agent's answer to a write
-  Time agent_read_timeout = std::chrono::seconds(3);   // and to a question
-  // A change counts as told 6 s after discovery had it and could be reached, whatever call failed before. So
-  // the longest step that may have begun just before that (a connect, an answer, a silence), the longest
-  // pause behind it and a call that succeeds take less together.
+  Time agent_write_timeout = std::chrono::seconds(2);  // for the Consul agent's answer to a write
+  Time agent_read_timeout = std::chrono::seconds(3);   // for its answer to a read
+  // A change counts as known 6 s after discovery had it and was reachable, whatever call failed before. The
+  // longest step that may have begun just before that (a connect, an answer, a silence), the longest pause
+  // after it and a successful call must therefore fit in 6 s together.
   Time discovery_connect_timeout = std::chrono::milliseconds(1500);
-  Time discovery_answer_timeout = std::chrono::milliseconds(1500);   // between two pieces of an answer
-  Time discovery_list_timeout = std::chrono::seconds(3);             // a whole list, from first to last byte
-  Time discovery_silence_timeout = std::chrono::milliseconds(3200);  // an empty line comes every 2 s
+  Time discovery_answer_timeout = std::chrono::milliseconds(1500);  // between two parts of an answer
+  Time discovery_list_timeout = std::chrono::seconds(3);  // a complete list, from first to last byte
+  // discovery sends an empty line every 2 s
+  Time discovery_silence_timeout = std::chrono::milliseconds(3200);
   Time backoff_min = std::chrono::milliseconds(50);
   Time backoff_max = std::chrono::seconds(1);
-  // Between tries at discovery, from half to one and a half of it. Guards it, where it is short of room,
-  // against many relays asking it so often that it answers none.
+  // Between connection attempts to discovery, randomized by a factor of 0.5 to 1.5. Without the delay, many
+  // relays retrying at once could overload a discovery service that is short of capacity.
   Time discovery_backoff_min = std::chrono::milliseconds(400);
   Time discovery_backoff_max = std::chrono::seconds(2);
-  Time lock_timeout = std::chrono::seconds(2);  // for a process before this one to let go of the state folder
-  Time loop_lag_check_interval = std::chrono::milliseconds(50);  // at how late the loop runs
-  Time loop_lag_report_interval = std::chrono::seconds(1);       // and how often that is noted
-  Time stray_log_interval = std::chrono::seconds(1);  // between two lines on bytes that answer no call
-  Time list_save_interval = std::chrono::seconds(2);  // between two times that the list is kept
+  // for a previous process to release the lock on the state folder
+  Time lock_timeout = std::chrono::seconds(2);
+  // how often the event loop's lag is measured
+  Time loop_lag_check_interval = std::chrono::milliseconds(50);
+  Time loop_lag_report_interval = std::chrono::seconds(1);  // how often the lag is recorded
+  Time stray_log_interval = std::chrono::seconds(1);        // between two log lines about unsolicited bytes
+  Time list_save_interval = std::chrono::seconds(2);        // between two saves of the host list
   Time max_budget = std::chrono::hours(24);
-  // From SIGTERM on: idle clients are sent away, then no call starts that may outlast the end, then the end.
+  // Shutdown from SIGTERM on: idle clients are disconnected, then no call is started that may outlast the
+  // process, then the process exits.
   Time stop_idle_timeout = std::chrono::milliseconds(600);
   Time stop_timeout = std::chrono::milliseconds(3200);
   Time stop_margin = std::chrono::milliseconds(200);
-  Time stop_answer_wait = std::chrono::milliseconds(50);  // for what has come by the end, and once more
+  // limit on processing answers that have arrived by the end; applied twice
+  Time stop_answer_wait = std::chrono::milliseconds(50);
 };
 
-struct ResourceLimits {  // of the machine, as configured
+struct ResourceLimits {  // resources of the machine, as configured
   std::size_t sockets = 1024;
   std::uint64_t memory_mb = 192;
   double disk_mb = 3;
   bool operator==(const ResourceLimits&) const = default;
 };
 
-// `slots` calls may be out at once, `held` messages be held; `keeps_list`: a list of hosts is kept on the
+// `slots`: maximum calls in flight; `held`: maximum messages held; `keeps_list`: the host list is saved to
 // disk.
-Limits make_limits(const ResourceLimits& allowance, std::size_t slots, std::size_t held, Time connect,
-                   Time idle, bool keeps_list = false);
+Limits make_limits(const ResourceLimits& allowance, std::size_t slots, std::size_t held, Time connect_timeout,
+                   Time connection_idle, bool keeps_list = false);
 
 }  // namespace fennellane
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -24,7 +24,7 @@
 }
 
 std::vector<Effect> Reducer::reduce(Time now, const Input& input) {
-  now_ = std::max(now, now_);  // the module's time never goes backwards
+  now_ = std::max(now, now_);  // the module requires time that never goes backwards
   std::visit([this](const auto& i) { on(i); }, input);
   return std::exchange(effects_, {});
 }
@@ -45,26 +45,28 @@
   }
 }
 
-Reducer::Stream& Reducer::add_stream(StreamId id, std::string text, Body body) {
-  stream_ids_[text] = id;
+Reducer::Stream& Reducer::add_stream(StreamId id, std::string message_id, Body body) {
+  stream_ids_[message_id] = id;
   Stream& stream = streams_[id];
-  stream.id = std::move(text);
+  stream.id = std::move(message_id);
   stream.body = std::move(body);
   return stream;
 }
 
-// Taking on: the journal first, then the client's answer, then the first send.
-void Reducer::on(const MessageSubmitted& o) {
-  if (stream_ids_.count(o.id) || ended_ids_.count(o.id)) {
+// The order of effects is essential: journal record, answer to the client, first call.
+void Reducer::on(const MessageSubmitted& submitted) {
+  if (stream_ids_.count(submitted.id) || ended_ids_.count(submitted.id)) {
     ++counters_.duplicates;
-    return emit(SendAnswer{o.request, AdmissionReply::accepted, Time(0), AdmissionOutcome::duplicate, 0});
+    return emit(
+        SendAnswer{submitted.request, AdmissionReply::accepted, Time(0), AdmissionOutcome::duplicate, 0});
   }
-  // Guards against holding to its deadline what can never be delivered. Before discovery has told its list,
-  // it may only be too early.
-  if (o.destination >= destinations_.size() || !destinations_[o.destination]) {
+  // A message to an unknown destination would be held until its deadline without ever being delivered. Before
+  // discovery has sent its list, the destination may still appear, so the client is refused and may retry.
+  if (submitted.destination >= destinations_.size() || !destinations_[submitted.destination]) {
     ++(host_list_received_ ? counters_.malformed : counters_.refused);
     return emit(SendAnswer{
-        o.request, host_list_received_ ? AdmissionReply::unknown_destination : AdmissionReply::refused,
+        submitted.request,
+        host_list_received_ ? AdmissionReply::unknown_destination : AdmissionReply::refused,
         refusal_retry_after_,
         host_list_received_ ? AdmissionOutcome::unknown_destination : AdmissionOutcome::no_host_list, 0});
   }
@@ -72,71 +74,71 @@
       streams_.size() - given_up_ >= limits_.max_held     ? AdmissionOutcome::held_limit
       : streams_.size() >= limits_.max_held_and_unnoticed ? AdmissionOutcome::notice_limit
       : !storage_writable_                                ? AdmissionOutcome::storage_failing
-      : !o.journal_has_room                               ? AdmissionOutcome::journal_full
+      : !submitted.journal_has_room                       ? AdmissionOutcome::journal_full
                                                           : AdmissionOutcome::accepted;
   if (admission != AdmissionOutcome::accepted) {
     ++counters_.refused;
-    return emit(SendAnswer{o.request, AdmissionReply::refused, refusal_retry_after_, admission, 0});
+    return emit(SendAnswer{submitted.request, AdmissionReply::refused, refusal_retry_after_, admission, 0});
   }
   ++counters_.accepted;
   const StreamId id = next_stream_++;
-  Stream& stream = add_stream(id, o.id, o.body);
-  stream.idempotency_key = o.idempotency_key;
-  stream.deadline = now_ + o.time_left;
-  if (o.message_class < aims_.size()) {
-    stream.late_at = now_ + aims_[o.message_class];
-    stream.repeatable = repeatable_[o.message_class];
+  Stream& stream = add_stream(id, submitted.id, submitted.body);
+  stream.idempotency_key = submitted.idempotency_key;
+  stream.deadline = now_ + submitted.time_left;
+  if (submitted.message_class < aims_.size()) {
+    stream.late_at = now_ + aims_[submitted.message_class];
+    stream.repeatable = repeatable_[submitted.message_class];
   }
   JournalEntry entry;
-  entry.id = o.id;
-  entry.idempotency_key = o.idempotency_key;
-  entry.message_class = o.message_class;
-  entry.tenant = o.tenant;
-  entry.destination = o.destination;
-  entry.body = o.body;
-  emit(RecordAccepted{id, std::move(entry), o.time_left});
-  emit(SendAnswer{o.request, AdmissionReply::accepted, Time(0), AdmissionOutcome::accepted, id});
+  entry.id = submitted.id;
+  entry.idempotency_key = submitted.idempotency_key;
+  entry.message_class = submitted.message_class;
+  entry.tenant = submitted.tenant;
+  entry.destination = submitted.destination;
+  entry.body = submitted.body;
+  emit(RecordAccepted{id, std::move(entry), submitted.time_left});
+  emit(SendAnswer{submitted.request, AdmissionReply::accepted, Time(0), AdmissionOutcome::accepted, id});
   starlinghook::MessageArrived arrived;
   arrived.id = id;
-  arrived.message_class = o.message_class;
-  arrived.tenant = o.tenant;
-  arrived.destination = o.destination;
-  arrived.time_left = o.time_left;
+  arrived.message_class = submitted.message_class;
+  arrived.tenant = submitted.tenant;
+  arrived.destination = submitted.destination;
+  arrived.time_left = submitted.time_left;
   handle_event(arrived);
 }
 
-void Reducer::on(const MessageRestored& r) {
+void Reducer::on(const MessageRestored& restored) {
   ++counters_.restored;
-  const JournalEntry& e = r.entry;
-  Stream& stream = add_stream(r.stream, e.id, e.body);
+  const JournalEntry& e = restored.entry;
+  Stream& stream = add_stream(restored.stream, e.id, e.body);
   stream.idempotency_key = e.idempotency_key;
   stream.attempts = e.attempts;
-  stream.deadline = now_ + r.time_left;
+  stream.deadline = now_ + restored.time_left;
   if (e.verdict) {
-    // Guards against sending a message again that was ended before the crash: only its notice is owed.
+    // The message was given up before the crash: it must not be sent again, only its notice is pending.
     stream.given_up = true;
     ++given_up_;
-    return emit(PostNotice{r.stream, e.id, *e.verdict, e.retry_after});
+    return emit(PostNotice{restored.stream, e.id, *e.verdict, e.retry_after});
   }
-  // An attempt that was out at the crash may have run; the module sends no such message again that may not be
+  // An attempt in flight at the crash may have run; the module does not resend a message that may not be
   // repeated.
-  if (e.in_flight) emit(RecordOutcome{r.stream, true});
-  // Guards against a configuration that has lost the message's class since.
+  if (e.in_flight) emit(RecordOutcome{restored.stream, true});
+  // The message's class may have been removed from the configuration.
   if (e.message_class >= aims_.size()) {
-    return give_up(r.stream, Verdict::undeliverable, Time(0), starlinghook::GiveUpReason::none);
+    return give_up(restored.stream, Verdict::undeliverable, Time(0), starlinghook::GiveUpReason::none);
   }
   stream.repeatable = repeatable_[e.message_class];
   starlinghook::MessageArrived arrived;
-  arrived.id = r.stream;
+  arrived.id = restored.stream;
   arrived.message_class = e.message_class;
   arrived.tenant = e.tenant;
   arrived.destination = e.destination;
-  arrived.time_left = r.time_left;
+  arrived.time_left = restored.time_left;
   arrived.attempts = e.attempts;
   arrived.may_have_run = e.in_flight || e.may_have_run;
-  arrived.uncertain_age = e.may_have_run ? r.uncertain_age : r.attempt_age;
+  arrived.uncertain_age = e.may_have_run ? restored.uncertain_age : restored.attempt_age;
   arrived.uncertain_zone = e.may_have_run ? e.uncertain_zone : e.attempt_zone;
-  arrived.more_follow = r.more_follow;
+  arrived.more_follow = restored.more_follow;
   handle_event(arrived);
 }
 
@@ -154,7 +156,7 @@
   ended.attempt = c.attempt;
   ended.endpoint = stream.host;
   ended.outcome = c.outcome;
-  const bool too_late = answered_too_late(stream, c);
+  const bool answered_late = answered_too_late(stream, c);
   ended.finished = c.ended_elsewhere || c.outcome == Outcome::delivered;
   ended.retry_after = c.retry_after;
   ended.no_slot = c.no_slot;
@@ -163,7 +165,7 @@
   ended.connection_idle = c.idle;
   ended.connection_closed = c.connection_closed;
   ended.close_requested = c.close_requested;
-  if (too_late) {
+  if (answered_late) {
     ++counters_.undeliverable;
     give_up(c.stream, Verdict::undeliverable, Time(0), starlinghook::GiveUpReason::answered_late);
   } else if (ended.finished) {
@@ -171,31 +173,32 @@
     counters_.late += c.outcome == Outcome::delivered && now_ > stream.late_at ? 1 : 0;
     end_message(it);
   } else {
-    const bool doubtful = c.outcome == Outcome::error || c.outcome == Outcome::timeout ||
-                          c.outcome == Outcome::reset || c.outcome == Outcome::cancelled;
-    emit(RecordOutcome{c.stream, doubtful});
+    const bool uncertain = c.outcome == Outcome::error || c.outcome == Outcome::timeout ||
+                           c.outcome == Outcome::reset || c.outcome == Outcome::cancelled;
+    emit(RecordOutcome{c.stream, uncertain});
   }
   if (c.retry_after > Time(0)) {
     cancel_unsent_calls([&](const HostEntry& host) { return host.destination == destination; });
   }
-  const HostId called = ended.endpoint;
+  const HostId endpoint = ended.endpoint;
   handle_event(ended);
-  forget_if_gone(called);
+  forget_if_gone(endpoint);
 }
 
-// A 200 that was written when the message's time was up delivers nothing, and the platform still waits for
-// the end. This relay's deadline and the client's differ by what the request took to be read, so an answer
-// within that margin may be either: the notice is posted, and does no harm to a message that is already over.
+// A 200 written after the message's deadline does not count as a delivery, and the platform still expects a
+// result. This relay's deadline and the client's differ by the time it took to read the request, so an answer
+// within that margin may be on either side: the notice is posted, and is harmless for a message that has
+// already ended.
 bool Reducer::answered_too_late(const Stream& stream, const CallEnded& call) const {
   return call.outcome == Outcome::delivered && now_ + limits_.delivery_deadline_margin >= stream.deadline;
 }
 
-// Guards against a call that was decided on before a wait or a drain was told and is sent after it: a new
-// connection may take long to come up.
-template <class Concerned>
-void Reducer::cancel_unsent_calls(Concerned concerned) {
+// Cancels calls that were started before a wait was requested or a host began to drain, and that have not
+// been written yet: a new connection may take long to be established.
+template <class Predicate>
+void Reducer::cancel_unsent_calls(Predicate matches) {
   for (const auto& [id, stream] : streams_) {
-    if (stream.in_flight && concerned(cluster_.at(stream.host).entry))
+    if (stream.in_flight && matches(cluster_.at(stream.host).entry))
       emit(CancelUnsentCall{id, stream.attempts - 1});
   }
 }
@@ -206,7 +209,8 @@
   return it->second;
 }
 
-// Guards the memory against every host that ever was: one that is gone is forgotten with its last call.
+// A removed host is deleted with its last call; otherwise memory would grow with every host that ever
+// existed.
 void Reducer::forget_if_gone(HostId id) {
   const auto it = cluster_.find(id);
   if (it == cluster_.end() || it->second.calls_in_flight > 0 || it->second.entry.condition != Condition::gone)
@@ -215,44 +219,46 @@
   cluster_.erase(it);
 }
 
-void Reducer::on(const ClusterChanged& c) {
+void Reducer::on(const ClusterChanged& update) {
   std::vector<HostId> gone;
-  bool drains = false;
+  bool any_draining = false;
   starlinghook::ListChanged change;
-  change.full = c.list.full;
-  change.cached = c.cached;
-  if (c.list.full) {  // what is not in it is gone
-    host_list_received_ = host_list_received_ || !c.cached;
-    std::unordered_set<std::string> named;
-    for (const HostEntry& host : c.list.hosts) named.insert(host.id);
+  change.full = update.list.full;
+  change.cached = update.cached;
+  if (update.list.full) {  // hosts missing from it are gone
+    host_list_received_ = host_list_received_ || !update.cached;
+    std::unordered_set<std::string> listed;
+    for (const HostEntry& host : update.list.hosts) listed.insert(host.id);
     for (auto& [id, host] : cluster_) {
-      if (host.entry.condition == Condition::gone || named.count(host.entry.id)) continue;
+      if (host.entry.condition == Condition::gone || listed.count(host.entry.id)) continue;
       host.entry.condition = Condition::gone;
       gone.push_back(id);
-      drains = true;
+      any_draining = true;
       emit(RetireHost{id});
     }
   }
-  for (const HostEntry& entry : c.list.hosts) {
-    if (entry.condition == Condition::gone && !host_ids_.count(entry.id)) continue;  // never heard of
+  for (const HostEntry& entry : update.list.hosts) {
+    // a host that was never known
+    if (entry.condition == Condition::gone && !host_ids_.count(entry.id)) continue;
     const bool known = host_ids_.count(entry.id) > 0;
     const HostId id = intern(entry.id);
     Host& host = cluster_.at(id);
-    // Guards a host that comes at a new address against a connection to the old one.
-    const bool moved = known && entry.address.text() != host.entry.address.text();
-    if (entry.condition != Condition::ready || moved) emit(RetireHost{id});
-    drains = drains || entry.condition != Condition::ready;
+    // A host that changes its address must not be reached over connections to the old one.
+    const bool address_changed = known && entry.address.text() != host.entry.address.text();
+    if (entry.condition != Condition::ready || address_changed) emit(RetireHost{id});
+    any_draining = any_draining || entry.condition != Condition::ready;
     host.entry = entry;
     if (entry.condition == Condition::gone) gone.push_back(id);
     if (entry.destination >= destinations_.size()) destinations_.resize(entry.destination + 1);
     destinations_[entry.destination] = true;
     change.entries.push_back({id, entry.destination, entry.zone, entry.kind, entry.rate, entry.condition});
   }
-  // Nothing is sought among the streams, or among all hosts, for a change that only brings hosts.
-  if (drains) cancel_unsent_calls([](const HostEntry& host) { return host.condition != Condition::ready; });
+  // A change that only adds hosts requires no scan of the streams or hosts.
+  if (any_draining)
+    cancel_unsent_calls([](const HostEntry& host) { return host.condition != Condition::ready; });
   handle_event(change);
   for (const HostId id : gone) forget_if_gone(id);
-  if (fleet_ && fleet_->cap() && *fleet_->cap()) cap_backoffs();  // of hosts that have come since, too
+  if (fleet_ && fleet_->cap() && *fleet_->cap()) cap_backoffs();  // includes hosts added since
 }
 
 void Reducer::on(const NoticeAccepted& n) {
@@ -270,7 +276,7 @@
   --counters_.accepted;
   ++counters_.refused;
   handle_event(starlinghook::MessageDropped{n.stream});
-  if (stream.in_flight) {  // the call that was to follow did not go out
+  if (stream.in_flight) {  // the call that was to follow was not sent
     --cluster_.at(stream.host).calls_in_flight;
     starlinghook::AttemptEnded ended;
     ended.id = n.stream;
@@ -299,7 +305,7 @@
 
 void Reducer::on(const StopRequested& s) { handle_event(starlinghook::ShutdownScheduled{s.last_call}); }
 
-// A process that took over goes on with the leases as they stood, where its roles are the same.
+// A process that took over continues with the previous leases if its roles are the same.
 void Reducer::on(const FleetPlanReceived& f) {
   fleet_.emplace(f.plan);
   if (!load_fleet()) return;
@@ -321,8 +327,8 @@
     effects = fleet_->handle(now_, f.input);
   }
   for (fleet::Effect& e : effects) {
-    const auto* const done = std::get_if<fleet::ReporterEffect>(&e);
-    if (done && std::holds_alternative<ejection::CapEndpoints>(done->effect)) {
+    const auto* const reporter_effect = std::get_if<fleet::ReporterEffect>(&e);
+    if (reporter_effect && std::holds_alternative<ejection::CapEndpoints>(reporter_effect->effect)) {
       cap_backoffs();
     } else {
       emit(FleetEffect{std::move(e)});
@@ -337,14 +343,14 @@
       view.listed.push_back(
           {host.entry.id, host.entry.destination, host.entry.condition == Condition::ready});
   }
-  const std::vector<std::string> all = hosts_exempt_from_backoff(view.listed);
-  const std::unordered_set<std::string> kept(all.begin(), all.end());
+  const std::vector<std::string> exempt_hosts = hosts_exempt_from_backoff(view.listed);
+  const std::unordered_set<std::string> exempt(exempt_hosts.begin(), exempt_hosts.end());
   for (const starlinghook::DegradedEndpoint& a : forwarder_.degraded_endpoints()) {
     const auto it = cluster_.find(a.endpoint);
     if (it == cluster_.end()) continue;
     const std::string& host = it->second.entry.id;
     view.degraded_endpoints.push_back(
-        {host, static_cast<ejection::DegradationKind>(a.kind), a.failure_share, kept.count(host) > 0});
+        {host, static_cast<ejection::DegradationKind>(a.kind), a.failure_share, exempt.count(host) > 0});
   }
   return view;
 }
@@ -378,13 +384,13 @@
   emit(std::move(call));
 }
 
-void Reducer::give_up(StreamId stream, Verdict verdict, Time again, starlinghook::GiveUpReason why) {
+void Reducer::give_up(StreamId stream, Verdict verdict, Time retry_after, starlinghook::GiveUpReason reason) {
   Stream& s = streams_.at(stream);
   s.given_up = true;
   s.body.reset();
   ++given_up_;
-  emit(RecordGivenUp{stream, verdict, again, why});
-  emit(PostNotice{stream, s.id, verdict, again});
+  emit(RecordGivenUp{stream, verdict, retry_after, reason});
+  emit(PostNotice{stream, s.id, verdict, retry_after});
 }
 void Reducer::execute(const starlinghook::Refuse& a) {
   ++counters_.deferred;
@@ -397,14 +403,16 @@
 void Reducer::execute(const starlinghook::Cancel& a) { emit(CancelCall{a.id, a.attempt}); }
 void Reducer::execute(const starlinghook::CloseIdleConnections& a) { emit(CloseIdleConnections{a.endpoint}); }
 void Reducer::execute(const starlinghook::SetTimer& a) {
-  // Each of the module's timers is earlier than those still to come, and at each it looks at all that is due.
+  // A new timer of the module only matters if it is earlier than the pending one; when a timer fires, the
+  // module handles everything that is due.
   if (a.at >= timer_) return;
   timer_ = a.at;
   emit(SetTimer{a.at});
 }
 void Reducer::execute(const starlinghook::LogMessage& a) { emit(LogMessage{a.text}); }
 
-// The message has its one end. Its id is remembered for a while: a client that heard no answer may repeat it.
+// The message has its final result. Its id is kept for a while: a client that got no answer may submit it
+// again.
 void Reducer::end_message(std::map<StreamId, Stream>::iterator it) {
   emit(RecordEnded{it->first});
   stream_ids_.erase(it->second.id);
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -1,6 +1,6 @@
-// The one place where the relay's state changes. It takes an input at a moment and says what is to be done,
-// in order; it reads no clock and does no input or output, and knows of no protocol. All decisions are the
-// module's: the reducer turns inputs into its events and its actions into effects.
+// The relay's state machine. It takes an input and a time and returns effects to execute, in order. Pure:
+// performs no I/O, reads no clock and knows no protocol. Delivery decisions are made by the starlinghook
+// module: the reducer translates inputs into its events and its actions into effects.
 #pragma once
 
 #include <cstdint>
@@ -25,13 +25,13 @@
 namespace fennellane {
 
 using HostId = starlinghook::EndpointId;
-using RequestHandle = std::uint64_t;  // where the answer to a request goes
+using RequestHandle = std::uint64_t;  // identifies the request that an answer belongs to
 
 // --- Inputs
 struct Started {
-  StreamId next_stream = 0;  // streams below it are of earlier lives
+  StreamId next_stream = 0;  // streams below it belong to previous processes
 };
-struct MessageSubmitted {  // a message that a client hands in
+struct MessageSubmitted {  // a client has submitted a message
   RequestHandle request = 0;
   std::string id;
   std::uint32_t message_class = 0;
@@ -42,13 +42,13 @@
   bool journal_has_room = true;
   std::string idempotency_key = {};  // empty: none
 };
-struct MessageRestored {  // a message of an earlier life
+struct MessageRestored {  // a message from the journal of a previous process
   StreamId stream = 0;
   JournalEntry entry;
   Time time_left{};
-  Time attempt_age{};  // since the attempt that was out started, and since the first that may have run
+  Time attempt_age{};  // since the attempt in flight started, and since the first attempt that may have run
   Time uncertain_age{};
-  bool more_follow = false;  // another one comes right after it
+  bool more_follow = false;  // another restored message follows immediately
 };
 struct CallEnded {
   StreamId stream = 0;
@@ -58,9 +58,10 @@
   Time retry_after{};
   bool no_slot = false;
   starlinghook::LoadReport report;
-  bool connection_only = false;   // the connection was up and broke; full: the host had no place for it
-  Time idle{};                    // of the connection before the call; 0 = a new one
-  bool connection_closed = true;  // it carries no other call
+  // the established connection broke; with outcome full: the host had no capacity for the connection
+  bool connection_only = false;
+  Time idle{};                    // idle time of the connection before the call; 0 = a new connection
+  bool connection_closed = true;  // it can carry no further call
   bool close_requested = false;   // by the call
 };
 struct ClusterChanged {
@@ -70,8 +71,8 @@
 struct NoticeAccepted {
   StreamId stream = 0;
 };
-// A message whose RecordTaken could not be carried out, and whose client has heard a refusal: as if it had
-// never come.
+// The effect RecordAccepted of a message failed and its client was refused: the message is dropped as if it
+// had never been submitted.
 struct RecordingFailed {
   StreamId stream = 0;
 };
@@ -80,9 +81,9 @@
 };
 struct TimerExpired {};
 struct StopRequested {
-  Time last_call{};  // no call may last longer
+  Time last_call{};  // no call may last longer than this
 };
-struct FleetPlanReceived {  // which roles of the fleet this relay may hold; at most once
+struct FleetPlanReceived {  // the fleet roles this relay may hold; sent at most once
   fleet::Plan plan;
 };
 struct FleetInput {
@@ -95,14 +96,14 @@
 // --- Effects
 struct RecordAccepted {
   StreamId stream = 0;
-  JournalEntry entry;  // without its deadline, which is on another clock
+  JournalEntry entry;  // without its deadline, which is on a different clock
   Time time_left{};
 };
 struct RecordAttempt {
   StreamId stream = 0;
   std::uint32_t attempt = 0;
   std::uint32_t zone = 0;
-  bool required = true;  // the call may only go out once this is recorded
+  bool required = true;  // the call may be sent only after this is recorded
 };
 struct RecordOutcome {
   StreamId stream = 0;
@@ -112,18 +113,19 @@
   StreamId stream = 0;
   Verdict verdict{};
   Time retry_after{};
-  starlinghook::GiveUpReason reason{};  // for those who ask; not in the journal
+  starlinghook::GiveUpReason reason{};  // for the flight record; not written to the journal
 };
 struct RecordEnded {
   StreamId stream = 0;
 };
-enum class AdmissionReply { accepted, refused, unknown_destination };  // unknown: no such destination
+// unknown_destination: no such destination
+enum class AdmissionReply { accepted, refused, unknown_destination };
 struct SendAnswer {
   RequestHandle request = 0;
   AdmissionReply reply{};
-  Time retry_after{};  // refused: when to come back; 0 = no advice
+  Time retry_after{};  // if refused: when to retry; 0 = unspecified
   AdmissionOutcome admission{};
-  StreamId stream = 0;  // of one that is taken on
+  StreamId stream = 0;  // of an accepted message
 };
 struct StartCall {
   StreamId stream = 0;
@@ -133,22 +135,23 @@
   std::string id;
   Body body;
   Time timeout{};
-  Time max_idle = Time::max();      // over a connection that has stood idle for no longer
-  Time begin_within = Time::max();  // until the call's first byte is written; else it could not connect
-  std::string idempotency_key;      // empty: none
+  Time max_idle = Time::max();  // only use a connection that has been idle no longer than this
+  // time limit for writing the call's first byte; past it the call ends as connect_failed
+  Time begin_within = Time::max();
+  std::string idempotency_key;  // empty: none
 };
 struct CancelCall {
   StreamId stream = 0;
   std::uint32_t attempt = 0;
 };
-struct CancelUnsentCall {  // the call is taken back if no byte of it has been written
+struct CancelUnsentCall {  // cancels the call if none of its bytes has been written
   StreamId stream = 0;
   std::uint32_t attempt = 0;
 };
 struct CloseIdleConnections {
   HostId host = 0;
 };
-struct RetireHost {  // its connections close: idle ones at once, others as their calls end
+struct RetireHost {  // closes the host's connections: idle ones at once, others when their calls end
   HostId host = 0;
 };
 struct PostNotice {
@@ -157,7 +160,7 @@
   Verdict verdict{};
   Time retry_after{};
 };
-struct SetTimer {  // replaces the one before
+struct SetTimer {  // replaces the previous timer
   Time at{};
 };
 struct LogMessage {
@@ -177,24 +180,25 @@
 
   std::vector<Effect> reduce(Time now, const Input& input);
 
-  // All that it remembers but the bodies, the module's part included, as bytes; of no use to another version.
+  // Serializes all state except message bodies, including the module's state. Only the same version can load
+  // it.
   std::string save();
-  // Of a reducer that has had no input: goes on exactly where the saved one stood, with the bodies from
-  // elsewhere (null: there is none). Throws starlinghook::MemoryError for bytes of another version, or that
-  // do not fit the settings, and for a body that is missing; it is of no use then.
+  // Restores saved state into a reducer that has had no input; bodies come from `body_of` (null: not
+  // available). Throws starlinghook::SnapshotError for bytes of another version or that do not match the
+  // settings, and for a missing body; the reducer must not be used after that.
   using BodyLookup = std::function<Body(StreamId)>;
   void load(const starlinghook::Settings& settings, std::string_view bytes, const BodyLookup& body_of);
-  Time next_timer() const { return timer_; }  // the one that SetTimer asked for last, or Time::max()
+  Time next_timer() const { return timer_; }  // the time of the last SetTimer, or Time::max()
 
-  // Null where no role of the fleet is sought.
+  // Null if the relay seeks no fleet role.
   const fleet::Fleet* fleet() const { return fleet_ ? &*fleet_ : nullptr; }
 
-  // What a refused client is told to wait.
+  // The Retry-After for a refused client.
   Time refusal_retry_after() const { return refusal_retry_after_; }
 
   std::size_t streams() const { return streams_.size(); }
   std::size_t hosts() const { return cluster_.size(); }
-  // All that is remembered of streams, hosts and ids, the module's part included.
+  // Number of stored records of streams, hosts and ids, including the module's.
   std::size_t record_count() const {
     return streams_.size() + stream_ids_.size() + ended_.size() + ended_ids_.size() + host_ids_.size() +
            cluster_.size() + forwarder_.record_count();
@@ -206,11 +210,11 @@
     std::string idempotency_key;
     Body body;
     std::uint32_t attempts = 0;
-    bool repeatable = false;  // any number of times
-    HostId host = 0;          // of the newest attempt; in the cluster as long as it is out
+    bool repeatable = false;  // may be sent any number of times
+    HostId host = 0;          // of the newest attempt; remains in the cluster while the attempt is in flight
     bool in_flight = false;
     bool given_up = false;
-    Time late_at = Time::max();  // its aim is over; not known of one from an earlier life
+    Time late_at = Time::max();  // when its class's aim expires; unknown for a message of a previous process
     Time deadline{};
     template <class Archive>
     void serialize(Archive& archive);
@@ -233,7 +237,7 @@
   void on(const FleetPlanReceived&);
   void on(const FleetInput&);
 
-  // The cap on endpoints out: what this relay shows of them, and what may not rest.
+  // The ejection cap: the endpoints that this relay reports, and those that must not back off.
   ejection::View ejection_view() const;
   std::vector<std::string> hosts_exempt_from_backoff(const std::vector<ejection::Listed>& listed) const;
   void cap_backoffs();
@@ -245,15 +249,16 @@
   void execute(const starlinghook::CloseIdleConnections& action);
   void execute(const starlinghook::SetTimer& action);
   void execute(const starlinghook::LogMessage& action);
-  void execute(const starlinghook::Probe&) {}      // none of these is asked for: the settings rule
-  void execute(const starlinghook::WatchList&) {}  // them out
+  // never requested: the settings disable probes and list fetching
+  void execute(const starlinghook::Probe&) {}
+  void execute(const starlinghook::WatchList&) {}
   void execute(const starlinghook::FetchList&) {}
 
-  Stream& add_stream(StreamId id, std::string text, Body body);
-  void give_up(StreamId stream, Verdict verdict, Time again, starlinghook::GiveUpReason why);
+  Stream& add_stream(StreamId id, std::string message_id, Body body);
+  void give_up(StreamId stream, Verdict verdict, Time retry_after, starlinghook::GiveUpReason reason);
   bool answered_too_late(const Stream& stream, const CallEnded& call) const;
-  template <class Concerned>
-  void cancel_unsent_calls(Concerned concerned);
+  template <class Predicate>
+  void cancel_unsent_calls(Predicate matches);
   void end_message(std::map<StreamId, Stream>::iterator it);
   HostId intern(const std::string& host);
   void forget_if_gone(HostId host);
@@ -265,7 +270,7 @@
   const Limits& limits_;
   Counters& counters_;
   std::vector<Time> aims_;        // by class
-  std::vector<bool> repeatable_;  // likewise
+  std::vector<bool> repeatable_;  // by class
   const Time refusal_retry_after_;
   starlinghook::Forwarder forwarder_;
   Time now_{};
@@ -273,26 +278,26 @@
   std::vector<starlinghook::Action> actions_;
   StreamId next_stream_;
   std::map<StreamId, Stream> streams_;
-  std::size_t given_up_ = 0;  // of these, only a notice is owed for so many
+  std::size_t given_up_ = 0;  // of these, given up and waiting for their notice to be accepted
   std::unordered_map<std::string, StreamId> stream_ids_;
-  std::deque<std::string> ended_;  // ids that ended last
+  std::deque<std::string> ended_;  // ids of recently ended messages
   std::unordered_set<std::string> ended_ids_;
   std::unordered_map<std::string, HostId> host_ids_;
-  // The cluster: what discovery names, and hosts that are gone for as long as a call to them is out.
+  // The cluster: hosts listed by discovery, and removed hosts that still have calls in flight.
   struct Host {
     HostEntry entry;
-    std::size_t calls_in_flight = 0;  // calls
+    std::size_t calls_in_flight = 0;
     template <class Archive>
     void serialize(Archive& archive);
   };
   std::map<HostId, Host> cluster_;
   HostId next_host_ = 0;
-  std::vector<bool> destinations_;  // those that discovery has ever named
+  std::vector<bool> destinations_;  // destinations that discovery has ever listed
   bool storage_writable_ = true;
-  bool host_list_received_ = false;  // discovery has told a whole list in this life
+  bool host_list_received_ = false;  // this process has received a complete list from discovery
   Time timer_ = Time::max();
   std::optional<fleet::Fleet> fleet_;
-  std::string fleet_snapshot_;  // of the process before this one, until the plan is known
+  std::string fleet_snapshot_;  // from the previous process, until the plan is received
 };
 
 }  // namespace fennellane
--- a/src/core/reducer_snapshot.cpp
+++ b/src/core/reducer_snapshot.cpp
@@ -1,5 +1,5 @@
-// What the reducer remembers, as bytes, for a process that takes over from another. Times stay as they are:
-// both processes read one clock.
+// Serialization of the reducer's state for a process that takes over from another. Points in time are kept as
+// they are: both processes read the same clock.
 #include "fleet_snapshot.hpp"
 #include "reducer.hpp"
 #include "snapshot.hpp"
@@ -35,16 +35,16 @@
   });
 }
 
-// False: there is nothing to go on with. Sessions of other roles lapse.
+// False if there is no state to restore, or it is of other roles, whose sessions then expire.
 bool Reducer::load_fleet() {
   const std::string bytes = std::exchange(fleet_snapshot_, {});
   if (bytes.empty()) return false;
   std::vector<std::string> roles;
   std::string leases;
-  const char* const whose = "the fleet's part of the reducer's memory";
-  read_snapshot(bytes, whose, [&](SnapshotReader& archive) { archive(roles, leases); });
+  const char* const name = "the fleet part of the reducer snapshot";
+  read_snapshot(bytes, name, [&](SnapshotReader& archive) { archive(roles, leases); });
   if (roles != fleet_->snapshot_parts()) return false;
-  read_snapshot(leases, whose, [this](SnapshotReader& archive) { fleet_->serialize_state(archive); });
+  read_snapshot(leases, name, [this](SnapshotReader& archive) { fleet_->serialize_state(archive); });
   return true;
 }
 
@@ -57,10 +57,10 @@
 
 void Reducer::load(const starlinghook::Settings& settings, std::string_view bytes,
                    const BodyLookup& body_of) {
-  read_snapshot(bytes, "the reducer's memory", kSnapshotVersion, [&](SnapshotReader& archive) {
-    std::string module;
-    archive(module, fleet_snapshot_);
-    forwarder_ = starlinghook::Forwarder::load(settings, module);
+  read_snapshot(bytes, "the reducer snapshot", kSnapshotVersion, [&](SnapshotReader& archive) {
+    std::string module_state;
+    archive(module_state, fleet_snapshot_);
+    forwarder_ = starlinghook::Forwarder::load(settings, module_state);
     serialize_state(archive);
   });
   for (auto& [id, stream] : streams_) {
@@ -68,7 +68,7 @@
     given_up_ += stream.given_up ? 1 : 0;
     if (stream.given_up) continue;
     stream.body = body_of(id);
-    if (!stream.body) throw starlinghook::SnapshotError("a message is held that the journal does not have");
+    if (!stream.body) throw starlinghook::SnapshotError("a held message is missing from the journal");
   }
   for (const auto& [id, host] : cluster_) host_ids_[host.entry.id] = id;
   ended_ids_.insert(ended_.begin(), ended_.end());
--- a/src/core/retry_backoff.hpp
+++ b/src/core/retry_backoff.hpp
@@ -1,5 +1,5 @@
-// How long to wait before the next try of something that others try as well: longer after each failure, and
-// never the same for two who failed together. Neither a clock nor I/O.
+// Exponential backoff with jitter for operations that others retry as well. Pure state machine: performs no
+// I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,16 +12,16 @@
 
 class RetryBackoff {
  public:
-  RetryBackoff(Time least, Time most, std::uint64_t seed) : min_(least), max_(most), random_(seed) {}
+  RetryBackoff(Time min, Time max, std::uint64_t seed) : min_(min), max_(max), random_(seed) {}
 
-  // After a failure: from half to one and a half of a span that doubles each time, up to `most`. Guards
-  // against a hundred that failed in one moment coming back in one moment, again and again.
+  // After a failure: 0.5 to 1.5 times a delay that doubles each time, up to `max`. Without the jitter, many
+  // clients that failed at the same moment would retry at the same moment, again and again.
   Time next_delay() {
-    const Time span = delay_;
+    const Time delay = delay_;
     delay_ = std::min(delay_ * 2, max_);
-    return span / 2 + Time(std::uniform_int_distribution<Time::rep>(0, span.count())(random_));
+    return delay / 2 + Time(std::uniform_int_distribution<Time::rep>(0, delay.count())(random_));
   }
-  // After a success: the next failure's pause is short again.
+  // After a success: the next failure starts from the minimum delay again.
   void reset() { delay_ = min_; }
 
  private:
--- a/src/core/snapshot.hpp
+++ b/src/core/snapshot.hpp
@@ -1,5 +1,5 @@
-// What a part of the relay remembers, as bytes, for a process that takes over from another. Fields in a set
-// order, written with cereal. Points in time stay as they are: both processes read one clock.
+// Serialization of a component's state for a process that takes over from another. Fields are written in a
+// fixed order with cereal. Points in time are kept as they are: both processes read the same clock.
 #pragma once
 
 #include <cereal/archives/binary.hpp>
@@ -26,7 +26,7 @@
 using SnapshotWriter = cereal::BinaryOutputArchive;
 using SnapshotReader = cereal::BinaryInputArchive;
 
-// `write` is called with a MemoryWriter.
+// `write` is called with a SnapshotWriter.
 template <class Write>
 std::string write_snapshot(Write write) {
   std::ostringstream out;
@@ -35,8 +35,8 @@
   return std::move(out).str();
 }
 
-// The same, of one version: it is raised with each change of what is written, and another's bytes are not
-// read.
+// The same with a version number, which is raised with each change of the format; other versions are
+// rejected.
 template <class Write>
 std::string write_snapshot(std::uint32_t version, Write write) {
   return write_snapshot([&](SnapshotWriter& archive) {
@@ -45,19 +45,19 @@
   });
 }
 
-// Bytes that are read where they stand.
+// Reads bytes in place, without a copy.
 class SnapshotView : public std::streambuf {
  public:
   explicit SnapshotView(std::string_view bytes) {
-    char* const first = const_cast<char*>(bytes.data());  // that nothing is written to
+    char* const first = const_cast<char*>(bytes.data());  // never written to
     setg(first, first, first + bytes.size());
   }
 };
 
-// `read` is called with a MemoryReader. Throws starlinghook::MemoryError where the bytes are not what it
-// reads, or are more.
+// `read` is called with a SnapshotReader. Throws starlinghook::SnapshotError if the bytes are malformed or
+// not all of them are read.
 template <class Read>
-void read_snapshot(std::string_view bytes, const char* whose, Read read) {
+void read_snapshot(std::string_view bytes, const char* name, Read read) {
   try {
     SnapshotView view(bytes);
     std::istream in(&view);
@@ -65,18 +65,19 @@
     read(archive);
     if (in.peek() == std::istream::traits_type::eof()) return;
   } catch (const cereal::Exception&) {
-  } catch (const std::bad_alloc&) {     // a length that is none
-  } catch (const std::length_error&) {  // the same
+  } catch (const std::bad_alloc&) {     // a corrupt length
+  } catch (const std::length_error&) {  // a corrupt length
   }
-  throw starlinghook::SnapshotError(std::string(whose) + " cannot be read");
+  throw starlinghook::SnapshotError(std::string(name) + " cannot be deserialized");
 }
 template <class Read>
-void read_snapshot(std::string_view bytes, const char* whose, std::uint32_t version, Read read) {
-  read_snapshot(bytes, whose, [&](SnapshotReader& archive) {
+void read_snapshot(std::string_view bytes, const char* name, std::uint32_t version, Read read) {
+  read_snapshot(bytes, name, [&](SnapshotReader& archive) {
     std::uint32_t found = 0;
     archive(found);
     if (found != version) {
-      throw starlinghook::SnapshotError(std::string(whose) + " is of version " + std::to_string(found));
+      throw starlinghook::SnapshotError(std::string(name) + " has unsupported version " +
+                                        std::to_string(found));
     }
     read(archive);
   });
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -1,4 +1,4 @@
-// A message from taking it on to its end, as it has to be known after a crash.
+// A message from its acceptance to its final result, with the state that must survive a crash.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 struct JournalEntry {
   std::string id;
-  std::string idempotency_key;  // by which the partner knows a repeat; empty: the client gave none
+  std::string idempotency_key;  // identifies a repeat to the partner; empty: the client gave none
   std::uint32_t message_class = 0;
   std::uint32_t tenant = 0;
   std::uint32_t destination = 0;
@@ -30,7 +30,7 @@
   bool may_have_run = false;
   WallTime uncertain_since{};  // start of the first attempt that may have run
   std::uint32_t uncertain_zone = 0;
-  std::optional<Verdict> verdict;  // given up; its notice has not been taken yet
+  std::optional<Verdict> verdict;  // given up; the notice has not been accepted yet
   Time retry_after{};
   Body body = std::make_shared<const std::string>();
 };
--- a/tests/reducer_test.cpp
+++ b/tests/reducer_test.cpp
@@ -1,4 +1,4 @@
-// The reducer alone: inputs in, effects out, no clock and no sockets.
+// Tests of the reducer alone: checks the effects of inputs, without clock or sockets.
 #include "reducer.hpp"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
 
 constexpr std::uint32_t kNote = 0, kPay = 1;
 
-class Fixture : public testing::Test {
+class ReducerFixture : public testing::Test {
  protected:
-  explicit Fixture(int max_open = 50)
+  explicit ReducerFixture(int max_open = 50)
       : config(parse_config(test::config_json({.known = {}, .max_open = max_open}))),
         reducer(config.boot.settings, config.limits, 1, counters) {
-    give(Started{});
-    list({{"s-1", "127.0.0.1:9"}});
+    handle(Started{});
+    set_hosts({{"s-1", "127.0.0.1:9"}});
   }
-  const std::vector<Effect>& give(const Input& input) {
+  const std::vector<Effect>& handle(const Input& input) {
     effects = reducer.reduce(now, input);
     for (const Effect& e : effects) {
       if (const auto* t = std::get_if<SetTimer>(&e)) timer = t->at;
@@ -35,10 +35,10 @@
     }
     return effects;
   }
-  void list(const std::vector<test::HostLine>& hosts, bool full = true) {
-    give(ClusterChanged{parse_hosts(test::list_json(hosts, 1, full), config.boot), false});
+  void set_hosts(const std::vector<test::HostLine>& hosts, bool full = true) {
+    handle(ClusterChanged{parse_hosts(test::list_json(hosts, 1, full), config.boot), false});
   }
-  MessageSubmitted offer(const std::string& id, std::uint32_t message_class = kNote) const {
+  MessageSubmitted make_message(const std::string& id, std::uint32_t message_class = kNote) const {
     MessageSubmitted o;
     o.request = 77;
     o.id = id;
@@ -48,17 +48,17 @@
     o.body = std::make_shared<const std::string>("body");
     return o;
   }
-  void end_call(Outcome outcome, Time told_wait = Time(0), bool over = false) {
+  void end_call(Outcome outcome, Time retry_after = Time(0), bool over = false) {
     now += milliseconds(20);
-    give(CallEnded{call.stream, call.attempt, outcome, over, told_wait, false, {}, false, Time(0)});
+    handle(CallEnded{call.stream, call.attempt, outcome, over, retry_after, false, {}, false, Time(0)});
   }
-  void pass(Time span) {  // with the timers on the way
+  void advance(Time span) {  // runs the timers that expire on the way
     const Time until = now + span;
     std::vector<Effect> all;
     while (timer <= until) {
       now = std::max(now, timer);
       timer = Time::max();
-      give(TimerExpired{});
+      handle(TimerExpired{});
       all.insert(all.end(), effects.begin(), effects.end());
     }
     now = until;
@@ -71,14 +71,14 @@
     return n;
   }
   template <class E>
-  const E& the() const {
+  const E& first_effect() const {
     for (const Effect& e : effects) {
       if (const E* found = std::get_if<E>(&e)) return *found;
     }
     throw std::runtime_error("no such effect");
   }
   template <class E>
-  std::size_t place() const {
+  std::size_t index_of() const {
     for (std::size_t i = 0; i < effects.size(); ++i) {
       if (std::holds_alternative<E>(effects[i])) return i;
     }
@@ -93,26 +93,26 @@
   std::vector<Effect> effects;
   StartCall call;
 };
-class ReducerTest : public Fixture {};
-class SmallReducerTest : public Fixture {
+class ReducerTest : public ReducerFixture {};
+class SmallReducerTest : public ReducerFixture {
  protected:
-  SmallReducerTest() : Fixture(3) {}
+  SmallReducerTest() : ReducerFixture(3) {}
 };
 
-// Guards the promise: nothing is answered before it is in the journal, nothing is sent before the attempt is.
-TEST_F(ReducerTest, JournalsThenAnswersThenSends) {
-  give(offer("a"));
-  EXPECT_LT(place<RecordAccepted>(), place<SendAnswer>());
-  EXPECT_LT(place<SendAnswer>(), place<RecordAttempt>());
-  EXPECT_LT(place<RecordAttempt>(), place<StartCall>());
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
-  EXPECT_EQ(the<SendAnswer>().request, 77u);
+// A message must be in the journal before it is answered, and an attempt before its call is sent.
+TEST_F(ReducerTest, RecordsThenAnswersThenSends) {
+  handle(make_message("a"));
+  EXPECT_LT(index_of<RecordAccepted>(), index_of<SendAnswer>());
+  EXPECT_LT(index_of<SendAnswer>(), index_of<RecordAttempt>());
+  EXPECT_LT(index_of<RecordAttempt>(), index_of<StartCall>());
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::accepted);
+  EXPECT_EQ(first_effect<SendAnswer>().request, 77u);
   EXPECT_EQ(call.id, "a");
   EXPECT_EQ(call.address.text(), "127.0.0.1:9");
 }
 
 TEST_F(ReducerTest, EndsADeliveredMessageOnce) {
-  give(offer("a"));
+  handle(make_message("a"));
   end_call(Outcome::delivered);
   EXPECT_EQ(count<RecordEnded>(), 1u);
   EXPECT_EQ(count<PostNotice>(), 0u);
@@ -122,235 +122,238 @@
   EXPECT_EQ(counters.delivered, 1u);
 }
 
-// Guards against taking a message on twice when a client repeats a request whose answer it did not hear.
-TEST_F(ReducerTest, AnswersARepeatedIdWithoutTakingItOnAgain) {
+// A client that got no answer repeats its request; the message must not be accepted twice.
+TEST_F(ReducerTest, AnswersADuplicateWithoutAcceptingItAgain) {
   for (int i = 0; i < 2; ++i) {
-    give(offer("a"));
-    EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+    handle(make_message("a"));
+    EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::accepted);
     EXPECT_EQ(count<RecordAccepted>(), i == 0 ? 1u : 0u);
   }
   end_call(Outcome::delivered);
-  give(offer("a"));
+  handle(make_message("a"));
   EXPECT_EQ(effects.size(), 1u);
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::accepted);
   EXPECT_EQ(counters.duplicates, 2u);
 }
 
-TEST_F(ReducerTest, RefusesWhatTheJournalHasNoRoomFor) {
-  MessageSubmitted o = offer("a");
+TEST_F(ReducerTest, RefusesAMessageThatDoesNotFitTheJournal) {
+  MessageSubmitted o = make_message("a");
   o.journal_has_room = false;
-  give(o);
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::refused);
-  EXPECT_EQ(the<SendAnswer>().retry_after, Time(0));  // these settings allow no advice
+  handle(o);
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::refused);
+  EXPECT_EQ(first_effect<SendAnswer>().retry_after, Time(0));  // these settings allow no Retry-After
   EXPECT_EQ(count<RecordAccepted>(), 0u);
 }
 
-TEST_F(SmallReducerTest, HoldsNoMoreThanItsRoom) {
-  list({});  // nowhere to send to
+TEST_F(SmallReducerTest, HoldsNoMoreThanTheLimit) {
+  set_hosts({});  // no host to send to
   std::size_t refused = 0;
   for (int i = 0; i < 20; ++i) {
-    give(offer(std::to_string(i)));
-    refused += the<SendAnswer>().reply == AdmissionReply::refused ? 1 : 0;
+    handle(make_message(std::to_string(i)));
+    refused += first_effect<SendAnswer>().reply == AdmissionReply::refused ? 1 : 0;
   }
   EXPECT_GT(refused + counters.deferred, 16u);
   EXPECT_LE(reducer.streams(), config.limits.max_held_and_unnoticed);
 }
 
-// Guards the rule on duplicates: one that may have run is not sent again where its class forbids it.
-class DoubtTest : public Fixture, public testing::WithParamInterface<Outcome> {};
-TEST_P(DoubtTest, NeverRepeatsWhatMayHaveRunAndMustNot) {
-  give(offer("p", kPay));
+// A message that may have run must not be sent again if its class forbids repeats.
+class UncertainOutcomeTest : public ReducerFixture, public testing::WithParamInterface<Outcome> {};
+TEST_P(UncertainOutcomeTest, DoesNotResendAnUnrepeatableMessageThatMayHaveRun) {
+  handle(make_message("p", kPay));
   end_call(GetParam());
-  EXPECT_TRUE(the<RecordOutcome>().may_have_run);
-  EXPECT_EQ(the<PostNotice>().verdict, Verdict::undeliverable);
-  EXPECT_LT(place<RecordGivenUp>(), place<PostNotice>());
+  EXPECT_TRUE(first_effect<RecordOutcome>().may_have_run);
+  EXPECT_EQ(first_effect<PostNotice>().verdict, Verdict::undeliverable);
+  EXPECT_LT(index_of<RecordGivenUp>(), index_of<PostNotice>());
   EXPECT_EQ(count<StartCall>(), 0u);
-  pass(seconds(30));
+  advance(seconds(30));
   EXPECT_EQ(count<StartCall>(), 0u);
 }
-INSTANTIATE_TEST_SUITE_P(Outcomes, DoubtTest,
+INSTANTIATE_TEST_SUITE_P(Outcomes, UncertainOutcomeTest,
                          testing::Values(Outcome::error, Outcome::timeout, Outcome::reset,
                                          Outcome::cancelled));
 
-TEST_F(ReducerTest, TriesAgainWhatNeverRan) {
-  give(offer("p", kPay));
+TEST_F(ReducerTest, RetriesACallThatDidNotRun) {
+  handle(make_message("p", kPay));
   end_call(Outcome::full, milliseconds(300));
-  EXPECT_FALSE(the<RecordOutcome>().may_have_run);
-  pass(milliseconds(299));
-  EXPECT_EQ(count<StartCall>(), 0u);  // told to wait
-  pass(seconds(5));
+  EXPECT_FALSE(first_effect<RecordOutcome>().may_have_run);
+  advance(milliseconds(299));
+  EXPECT_EQ(count<StartCall>(), 0u);  // the host asked to wait
+  advance(seconds(5));
   EXPECT_EQ(count<StartCall>(), 1u);
   EXPECT_EQ(call.attempt, 1u);
 }
 
-// Guards against a lost notice: the end is recorded only when the platform has it.
+// An undelivered end must be recorded only after its notice was accepted, or a crash in between loses the
+// notice.
 TEST_F(ReducerTest, RecordsAnUndeliveredEndOnlyAfterItsNotice) {
-  give(offer("p", kPay));
+  handle(make_message("p", kPay));
   end_call(Outcome::error);
   EXPECT_EQ(count<RecordEnded>(), 0u);
   EXPECT_EQ(reducer.streams(), 1u);
-  give(NoticeAccepted{the<PostNotice>().stream});
+  handle(NoticeAccepted{first_effect<PostNotice>().stream});
   EXPECT_EQ(count<RecordEnded>(), 1u);
   EXPECT_EQ(reducer.streams(), 0u);
 }
 
-TEST_F(ReducerTest, OwesNothingForAMessageThatIsOver) {
-  give(offer("a"));
+TEST_F(ReducerTest, PostsNoNoticeForAMessageThatEndedElsewhere) {
+  handle(make_message("a"));
   end_call(Outcome::not_sent, Time(0), true);
   EXPECT_EQ(count<RecordEnded>(), 1u);
   EXPECT_EQ(count<PostNotice>(), 0u);
   EXPECT_EQ(counters.withdrawn, 1u);
 }
 
-TEST_F(ReducerTest, GivesUpAtOnceWhenTheTimeIsUp) {
-  list({{"s-1", "127.0.0.1:9", 7, "draining"}});
-  give(offer("a"));
+TEST_F(ReducerTest, GivesUpAtTheDeadline) {
+  set_hosts({{"s-1", "127.0.0.1:9", 7, "draining"}});
+  handle(make_message("a"));
   EXPECT_EQ(count<StartCall>(), 0u);
-  pass(seconds(20) + milliseconds(1));
+  advance(seconds(20) + milliseconds(1));
   EXPECT_EQ(count<PostNotice>(), 1u);
 }
 
-TEST_F(ReducerTest, SendsNothingToAHostThatDrainsOrIsMissingFromAWholeList) {
-  list({{"s-1", "127.0.0.1:9", 7, "draining"}}, false);
+TEST_F(ReducerTest, SendsNothingToAHostThatDrainsOrIsMissingFromAFullList) {
+  set_hosts({{"s-1", "127.0.0.1:9", 7, "draining"}}, false);
   EXPECT_EQ(count<RetireHost>(), 1u);
-  give(offer("a"));
+  handle(make_message("a"));
   EXPECT_EQ(count<StartCall>(), 0u);
-  list({{"s-1", "127.0.0.1:9"}});
+  set_hosts({{"s-1", "127.0.0.1:9"}});
   EXPECT_EQ(count<StartCall>(), 1u);
   end_call(Outcome::delivered);
-  list({{"s-2", "127.0.0.1:10"}});
-  give(offer("b"));
+  set_hosts({{"s-2", "127.0.0.1:10"}});
+  handle(make_message("b"));
   EXPECT_EQ(call.address.text(), "127.0.0.1:10");
 }
 
-// Guards against a call whose connection comes up only after a wait or a drain was told.
-TEST_F(ReducerTest, HoldsBackCallsNotYetWrittenWhenToldToWaitOrDrain) {
-  give(offer("a"));
+// A call whose connection is established only after the host asked to wait or began to drain must not be
+// sent.
+TEST_F(ReducerTest, CancelsUnsentCallsWhenAHostAsksToWaitOrDrains) {
+  handle(make_message("a"));
   end_call(Outcome::delivered);
-  give(offer("b"));
+  handle(make_message("b"));
   const StartCall first = call;
-  pass(milliseconds(100));
-  give(offer("c"));
+  advance(milliseconds(100));
+  handle(make_message("c"));
   ASSERT_NE(call.stream, first.stream);
   end_call(Outcome::full, seconds(1));
   ASSERT_EQ(count<CancelUnsentCall>(), 1u);
-  EXPECT_EQ(the<CancelUnsentCall>().stream, first.stream);
+  EXPECT_EQ(first_effect<CancelUnsentCall>().stream, first.stream);
   call = first;
   end_call(Outcome::not_sent);
-  pass(milliseconds(900));
-  EXPECT_EQ(count<StartCall>(), 0u);  // the wait holds for it too
-  pass(seconds(3));
+  advance(milliseconds(900));
+  EXPECT_EQ(count<StartCall>(), 0u);  // the requested wait applies to it as well
+  advance(seconds(3));
   EXPECT_GE(count<StartCall>(), 1u);
-  list({});
-  EXPECT_GE(count<CancelUnsentCall>(), 1u);  // gone
+  set_hosts({});
+  EXPECT_GE(count<CancelUnsentCall>(), 1u);  // the host is gone
 }
 
-// Guards the memory of a long day: hosts come and go under new ids, some at the address of one that has gone,
-// and no id is seen twice. A call that outlives its host still ends.
-TEST_F(ReducerTest, ForgetsHostsAndIdsThatAreOver) {
-  std::size_t most = 0, early = 0;
+// Memory must not grow while hosts come and go under new ids, some at the address of a removed one, and no
+// message id repeats. A call that outlives its host still ends.
+TEST_F(ReducerTest, DeletesRemovedHostsAndEndedIds) {
+  std::size_t max_records = 0, early = 0;
   for (int i = 0; i < 20000; ++i) {
     if (i % 4 == 0) {
       const std::string id = "s-new" + std::to_string(i),
                         address = "127.0.0.1:" + std::to_string(9 + i / 4 % 3);
-      list({{id, address}}, i % 8 == 0);
-      if (i % 8 != 0) list({{"s-new" + std::to_string(i - 4), "127.0.0.1:9", 7, "gone"}}, false);
+      set_hosts({{id, address}}, i % 8 == 0);
+      if (i % 8 != 0) set_hosts({{"s-new" + std::to_string(i - 4), "127.0.0.1:9", 7, "gone"}}, false);
     }
-    give(offer("m" + std::to_string(i)));
+    handle(make_message("m" + std::to_string(i)));
     if (count<StartCall>() > 0) {
-      if (i % 16 == 0) list({{"s-other" + std::to_string(i), "127.0.0.1:8"}});  // its host is gone meanwhile
+      // removes the host of the call in flight
+      if (i % 16 == 0) set_hosts({{"s-other" + std::to_string(i), "127.0.0.1:8"}});
       end_call(Outcome::delivered);
     }
     now += milliseconds(80);
-    pass(milliseconds(20));
-    most = std::max(most, reducer.record_count());
-    if (i == 10000) early = most;
+    advance(milliseconds(20));
+    max_records = std::max(max_records, reducer.record_count());
+    if (i == 10000) early = max_records;
   }
   EXPECT_EQ(counters.delivered, 20000u);
-  EXPECT_EQ(most, early);  // no growth in the second half
+  EXPECT_EQ(max_records, early);  // no growth in the second half
   EXPECT_LE(reducer.hosts(), 3u);
-  EXPECT_LE(most, 2 * config.limits.max_ended_ids + 64);
+  EXPECT_LE(max_records, 2 * config.limits.max_ended_ids + 64);
 }
 
-// A hundred that failed in one moment: their next tries are spread, and grow apart until there is room for
-// all.
-TEST(RetryPause, SpreadsThoseWhoFailedTogether) {
+// A hundred clients that failed at the same moment must spread their retries, at a falling rate.
+TEST(RetryBackoff, SpreadsClientsThatFailedTogether) {
   std::map<Time::rep, int> per_second;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    RetryBackoff pause(std::chrono::milliseconds(500), std::chrono::seconds(8), seed);
+    RetryBackoff backoff(std::chrono::milliseconds(500), std::chrono::seconds(8), seed);
     Time at{};
     while (at < std::chrono::seconds(60)) {
-      const Time next = pause.next_delay();
+      const Time next = backoff.next_delay();
       ASSERT_GE(next, std::chrono::milliseconds(250));
       ASSERT_LE(next, std::chrono::seconds(12));
       at += next;
       ++per_second[at / std::chrono::seconds(1)];
     }
-    pause.reset();
-    EXPECT_LE(pause.next_delay(), std::chrono::milliseconds(750));
+    backoff.reset();
+    EXPECT_LE(backoff.next_delay(), std::chrono::milliseconds(750));
   }
   for (Time::rep s = 10; s < 60; ++s) EXPECT_LE(per_second[s], 30) << "in second " << s;
 }
 
-TEST_F(ReducerTest, RetiresTheConnectionsOfAHostThatMovesOrIsGone) {
-  list({{"s-1", "127.0.0.1:10"}}, false);
+TEST_F(ReducerTest, RetiresTheConnectionsOfAHostThatMovesOrIsRemoved) {
+  set_hosts({{"s-1", "127.0.0.1:10"}}, false);
   EXPECT_EQ(count<RetireHost>(), 1u);
-  list({{"s-1", "127.0.0.1:10"}}, false);
+  set_hosts({{"s-1", "127.0.0.1:10"}}, false);
   EXPECT_EQ(count<RetireHost>(), 0u);
-  give(offer("a"));
+  handle(make_message("a"));
   const HostId before = call.host;
-  list({{"s-2", "127.0.0.1:10"}});
-  EXPECT_EQ(the<RetireHost>().host, before);
+  set_hosts({{"s-2", "127.0.0.1:10"}});
+  EXPECT_EQ(first_effect<RetireHost>().host, before);
   end_call(Outcome::delivered);
-  give(offer("b"));
-  EXPECT_NE(call.host, before);  // at the same address, but another host
+  handle(make_message("b"));
+  EXPECT_NE(call.host, before);  // the same address, but another host
 }
 
-// Guards against holding to its deadline what can never be delivered; until discovery has told its list, a
-// client may only be too early.
-TEST_F(ReducerTest, TurnsAwayADestinationThatDoesNotExist) {
-  MessageSubmitted o = offer("a");
+// A message to an unknown destination must be rejected instead of being held until its deadline; before
+// discovery has sent its list, the client is refused and may retry.
+TEST_F(ReducerTest, RejectsAnUnknownDestination) {
+  MessageSubmitted o = make_message("a");
   o.destination = 999;
-  give(o);
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::unknown_destination);
+  handle(o);
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::unknown_destination);
   EXPECT_EQ(count<RecordAccepted>(), 0u);
-  list({{"s-9", "127.0.0.1:9", 999}}, false);
-  list({{"s-9", "127.0.0.1:9", 999, "gone"}}, false);
-  give(offer("b"));
+  set_hosts({{"s-9", "127.0.0.1:9", 999}}, false);
+  set_hosts({{"s-9", "127.0.0.1:9", 999, "gone"}}, false);
+  handle(make_message("b"));
   o.id = "c";
-  give(o);
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);  // it did exist, and may again
+  handle(o);
+  EXPECT_EQ(first_effect<SendAnswer>().reply,
+            AdmissionReply::accepted);  // it existed before and may exist again
   Counters fresh_counters;
   Reducer fresh(config.boot.settings, config.limits, 1, fresh_counters);
   fresh.reduce(now, Started{});
   fresh.reduce(now,
                ClusterChanged{parse_hosts(test::list_json({{"s-1", "127.0.0.1:9"}}), config.boot), true});
   effects = fresh.reduce(now, o);
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::refused);
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::refused);
 }
 
-TEST_F(ReducerTest, EndsARestoredMessageOfAClassThatIsNoMore) {
+TEST_F(ReducerTest, GivesUpARestoredMessageOfARemovedClass) {
   MessageRestored r;
   r.stream = 5;
   r.entry.id = "a";
   r.entry.message_class = 9;
   r.time_left = seconds(10);
-  give(r);
-  EXPECT_EQ(the<PostNotice>().verdict, Verdict::undeliverable);
+  handle(r);
+  EXPECT_EQ(first_effect<PostNotice>().verdict, Verdict::undeliverable);
 }
 
 // --- Restarts: a crash after each record.
 struct RestartCase {
-  const char* what;
+  const char* name;
   std::uint32_t message_class, attempts;
-  bool out, may_have_run;
+  bool in_flight, may_have_run;
   std::optional<Verdict> verdict;
   bool sent_again;
   std::optional<Verdict> notice;
 };
-class RestartTest : public Fixture, public testing::WithParamInterface<RestartCase> {};
+class RestartTest : public ReducerFixture, public testing::WithParamInterface<RestartCase> {};
 
-TEST_P(RestartTest, GoesOnAsTheRecordsAllow) {
+TEST_P(RestartTest, ContinuesAccordingToItsRecords) {
   const RestartCase& c = GetParam();
   MessageRestored r;
   r.stream = 5;
@@ -358,16 +361,16 @@
   r.entry.message_class = c.message_class;
   r.entry.destination = 7;
   r.entry.attempts = c.attempts;
-  r.entry.in_flight = c.out;
+  r.entry.in_flight = c.in_flight;
   r.entry.may_have_run = c.may_have_run;
   r.entry.verdict = c.verdict;
   r.time_left = seconds(10);
-  give(r);
+  handle(r);
   EXPECT_EQ(count<StartCall>(), c.sent_again ? 1u : 0u);
   EXPECT_EQ(call.attempt, c.sent_again ? c.attempts : 0u);
   EXPECT_EQ(count<PostNotice>(), c.notice ? 1u : 0u);
   if (c.notice) {
-    EXPECT_EQ(the<PostNotice>().verdict, *c.notice);
+    EXPECT_EQ(first_effect<PostNotice>().verdict, *c.notice);
   }
   EXPECT_EQ(count<RecordAccepted>(), 0u);
   if (c.verdict) {
@@ -377,7 +380,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     AfterEachRecord, RestartTest,
-    testing::Values(RestartCase{"taken", kPay, 0, false, false, {}, true, {}},
+    testing::Values(RestartCase{"accepted", kPay, 0, false, false, {}, true, {}},
                     RestartCase{"started", kPay, 1, true, false, {}, false, Verdict::undeliverable},
                     RestartCase{"started, may be repeated", kNote, 1, true, false, {}, true, {}},
                     RestartCase{"proven not run", kPay, 1, false, false, {}, true, {}},
@@ -385,40 +388,42 @@
                     RestartCase{"all attempts made", kNote, 12, false, true, {}, false, Verdict::deferred},
                     RestartCase{"given up", kNote, 2, false, true, Verdict::deferred, false,
                                 Verdict::deferred},
-                    RestartCase{"given up for good", kPay, 1, false, true, Verdict::undeliverable, false,
-                                Verdict::undeliverable}));
+                    RestartCase{"given up as undeliverable", kPay, 1, false, true, Verdict::undeliverable,
+                                false, Verdict::undeliverable}));
 
-TEST_F(ReducerTest, EndsARestoredMessageWhoseTimeIsUp) {
+TEST_F(ReducerTest, GivesUpARestoredMessagePastItsDeadline) {
   MessageRestored r;
   r.stream = 5;
   r.entry.id = "a";
   r.entry.destination = 7;
-  give(r);
+  handle(r);
   EXPECT_EQ(count<PostNotice>(), 1u);
   EXPECT_EQ(count<StartCall>(), 0u);
 }
 
-// Guards against a message without an end: a 200 that is written when its time is up delivers nothing.
-TEST_F(ReducerTest, TellsThePlatformOfAMessageAnsweredAsItsTimeEnds) {
+// A 200 written as the message's deadline passes does not count as delivered; without a notice the message
+// would have no final result.
+TEST_F(ReducerTest, PostsANoticeForAMessageAnsweredAtItsDeadline) {
   for (const Time before : {Time(milliseconds(300)), Time(milliseconds(10)), Time(0)}) {
-    give(offer("a" + std::to_string(before.count()), kPay));
+    handle(make_message("a" + std::to_string(before.count()), kPay));
     now += seconds(20) - milliseconds(20) - before;  // end_call adds 20 ms
     end_call(Outcome::delivered);
     const bool in_time = before == Time(milliseconds(300));
     EXPECT_EQ(count<PostNotice>(), in_time ? 0u : 1u) << before.count();
     EXPECT_EQ(count<RecordEnded>(), in_time ? 1u : 0u) << before.count();
     if (in_time) continue;
-    EXPECT_EQ(the<PostNotice>().verdict, Verdict::undeliverable);
-    EXPECT_EQ(the<RecordGivenUp>().reason, starlinghook::GiveUpReason::answered_late);
-    give(NoticeAccepted{call.stream});
+    EXPECT_EQ(first_effect<PostNotice>().verdict, Verdict::undeliverable);
+    EXPECT_EQ(first_effect<RecordGivenUp>().reason, starlinghook::GiveUpReason::answered_late);
+    handle(NoticeAccepted{call.stream});
     EXPECT_EQ(count<RecordEnded>(), 1u);
   }
   EXPECT_EQ(counters.delivered, 1u);
   EXPECT_EQ(counters.undeliverable, 2u);
 }
 
-// All that a restart finds is known before the first is sent, so that the one worth most goes first.
-TEST_F(SmallReducerTest, SendsTheRestoredMessageThatIsWorthMostFirst) {
+// All messages found at a restart must be known before the first is sent, so that the most valuable goes
+// first.
+TEST_F(SmallReducerTest, SendsTheMostValuableRestoredMessageFirst) {
   MessageRestored r;
   r.entry.destination = 7;
   r.time_left = seconds(10);
@@ -427,25 +432,25 @@
     r.stream = 5 + message_class;
     r.entry.id = "m" + std::to_string(message_class);
     r.entry.message_class = message_class;
-    give(r);
+    handle(r);
     EXPECT_EQ(count<StartCall>(), 0u);
   }
-  give(TimerExpired{});
-  ASSERT_EQ(count<StartCall>(), 1u);  // the window begins at one call
-  EXPECT_EQ(the<StartCall>().id, "m1");
+  handle(TimerExpired{});
+  ASSERT_EQ(count<StartCall>(), 1u);  // the congestion window starts at one call
+  EXPECT_EQ(first_effect<StartCall>().id, "m1");
 }
 
-// Guards against a call that the end of the process would cut off, whose effect nobody would know.
-TEST_F(ReducerTest, StartsNoUnsafeCallThatMayOutlastTheEnd) {
-  give(StopRequested{now + milliseconds(900)});
-  give(offer("p", kPay));
-  EXPECT_EQ(the<SendAnswer>().reply, AdmissionReply::accepted);
+// A call cut off by the end of the process would have an unknown result.
+TEST_F(ReducerTest, StartsNoUnsafeCallThatMayOutlastTheProcess) {
+  handle(StopRequested{now + milliseconds(900)});
+  handle(make_message("p", kPay));
+  EXPECT_EQ(first_effect<SendAnswer>().reply, AdmissionReply::accepted);
   EXPECT_EQ(count<StartCall>(), 0u);
-  give(offer("a", kNote));
+  handle(make_message("a", kNote));
   EXPECT_EQ(count<StartCall>(), 1u);
 }
 
-// What an effect says, for comparison.
+// An effect as text, for comparison.
 std::string text_of(const Effect& effect) {
   struct Text {
     static std::string of(StreamId stream, const std::string& more = "") {
@@ -457,7 +462,7 @@
     }
     std::string operator()(const RecordAttempt& e) const { return of(e.stream, std::to_string(e.zone)); }
     std::string operator()(const RecordOutcome& e) const {
-      return of(e.stream, e.may_have_run ? "doubt" : "");
+      return of(e.stream, e.may_have_run ? "may have run" : "");
     }
     std::string operator()(const RecordGivenUp& e) const {
       return of(e.stream, std::to_string(static_cast<int>(e.verdict)) + us(e.retry_after));
@@ -484,8 +489,8 @@
   return std::to_string(effect.index()) + " " + std::visit(Text{}, effect);
 }
 
-// A reducer that is loaded goes on exactly as the saved one does: the same inputs bring the same effects.
-TEST(ReducerMemory, ALoadedReducerActsAsTheSavedOne) {
+// A loaded reducer must behave exactly like the saved one: the same inputs produce the same effects.
+TEST(ReducerSnapshot, ALoadedReducerBehavesLikeTheSavedOne) {
   const Config config = parse_config(test::config_json());
   std::size_t effects = 0;
   for (unsigned seed = 0; seed < 40; ++seed) {
@@ -494,34 +499,34 @@
     Reducer one(config.boot.settings, config.limits, 1, counters);
     std::unique_ptr<Reducer> other;
     Time now = seconds(100), timer = Time::max();
-    std::vector<StartCall> out;
+    std::vector<StartCall> calls;
     std::vector<StreamId> notices;
     std::map<StreamId, Body> bodies;
-    std::string wrong;
-    const auto give = [&](const Input& input) {
+    std::string difference;
+    const auto handle = [&](const Input& input) {
       const std::vector<Effect> first = one.reduce(now, input);
       std::vector<Effect> second;
       if (other) second = other->reduce(now, input);
       if (other && first.size() != second.size())
-        wrong = "so many effects are not " + std::to_string(second.size());
+        difference = std::to_string(first.size()) + " effects, not " + std::to_string(second.size());
       for (std::size_t i = 0; i < first.size(); ++i) {
         ++effects;
-        if (other && wrong.empty() && text_of(first[i]) != text_of(second[i])) {
-          wrong = text_of(first[i]) + " is not " + text_of(second[i]);
+        if (other && difference.empty() && text_of(first[i]) != text_of(second[i])) {
+          difference = text_of(first[i]) + " is not " + text_of(second[i]);
         }
         if (const auto* t = std::get_if<SetTimer>(&first[i])) timer = t->at;
         if (const auto* r = std::get_if<RecordAccepted>(&first[i])) bodies[r->stream] = r->entry.body;
-        if (const auto* c = std::get_if<StartCall>(&first[i])) out.push_back(*c);
+        if (const auto* c = std::get_if<StartCall>(&first[i])) calls.push_back(*c);
         if (const auto* n = std::get_if<PostNotice>(&first[i])) notices.push_back(n->stream);
       }
     };
-    give(Started{});
+    handle(Started{});
     const auto hosts = [&](const std::string& state, bool full) {
       const std::vector<test::HostLine> lines = {{"s-1", "127.0.0.1:9", 7, state}, {"s-2", "127.0.0.1:8", 8}};
-      give(ClusterChanged{parse_hosts(test::list_json(lines, 1, full), config.boot), false});
+      handle(ClusterChanged{parse_hosts(test::list_json(lines, 1, full), config.boot), false});
     };
     hosts("ready", true);
-    for (int step = 0; step < 300 && wrong.empty(); ++step) {
+    for (int step = 0; step < 300 && difference.empty(); ++step) {
       if (step >= 30 && step % 5 == 0) {
         other = std::make_unique<Reducer>(config.boot.settings, config.limits, 1, others);
         other->load(config.boot.settings, one.save(), [&](StreamId id) { return bodies[id]; });
@@ -536,36 +541,36 @@
         o.destination = 7 + random() % 3;
         o.time_left = seconds(1 + random() % 20);
         o.body = std::make_shared<const std::string>("body of " + o.id);
-        give(o);
-      } else if (kind < 7 && !out.empty()) {
-        const std::size_t i = random() % out.size();
-        const StartCall call = out[i];
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
+        handle(o);
+      } else if (kind < 7 && !calls.empty()) {
+        const std::size_t i = random() % calls.size();
+        const StartCall call = calls[i];
+        calls.erase(calls.begin() + static_cast<std::ptrdiff_t>(i));
         const Outcome outcomes[] = {Outcome::delivered, Outcome::delivered, Outcome::full, Outcome::reset};
         const Outcome outcome = outcomes[random() % 4];
         const Time wait = outcome == Outcome::full && random() % 2 == 0 ? seconds(1) : Time(0);
-        give(CallEnded{call.stream, call.attempt, outcome, false, wait, false, {}, false, Time(0)});
+        handle(CallEnded{call.stream, call.attempt, outcome, false, wait, false, {}, false, Time(0)});
       } else if (kind == 7) {
         hosts(std::vector<std::string>{"ready", "draining", "gone"}[random() % 3], random() % 4 == 0);
       } else if (kind == 8 && !notices.empty()) {
         const StreamId stream = notices.front();
         notices.erase(notices.begin());
-        give(NoticeAccepted{stream});
+        handle(NoticeAccepted{stream});
       } else {
         for (const Time until = now + milliseconds(random() % 500); now < until;) {
           now = std::min(until, std::max(now + Time(1), timer));
           if (now < timer) continue;
           timer = Time::max();
-          give(TimerExpired{});
+          handle(TimerExpired{});
         }
       }
     }
-    ASSERT_EQ(wrong, "") << seed;
+    ASSERT_EQ(difference, "") << seed;
   }
   EXPECT_GT(effects, 10000u);
 }
 
-TEST(ReducerMemory, RefusesWhatItCannotRead) {
+TEST(ReducerSnapshot, RejectsTruncatedBytes) {
   const Config config = parse_config(test::config_json());
   Counters counters;
   Reducer one(config.boot.settings, config.limits, 1, counters);
