--- a/src/base/byte_units.hpp
+++ b/src/base/byte_units.hpp
@@ -1,4 +1,4 @@
-// Units of sizes in bytes.
+// Byte size units.
 #pragma once
 
 #include <cstddef>
--- a/src/base/descriptor.hpp
+++ b/src/base/descriptor.hpp
@@ -1,4 +1,4 @@
-// An open file that is closed with its owner.
+// Owning wrappers for file descriptors.
 #pragma once
 
 #include <unistd.h>
@@ -23,22 +23,21 @@
     if (fd_ >= 0) ::close(fd_);
   }
   int get() const { return fd_; }
-  // To one who closes it himself.
+  // The caller becomes responsible for closing it.
   int release() { return std::exchange(fd_, -1); }
 
  private:
   int fd_;
 };
 
-// Descriptors that go to another process, and those that came from one. The bytes that go along name each by
-// its position.
+// Descriptors sent to and received from another process. The accompanying bytes refer to each by its index.
 class OutgoingDescriptors {
  public:
   std::uint32_t add(int fd) {
     descriptors_.push_back(fd);
     return static_cast<std::uint32_t>(descriptors_.size() - 1);
   }
-  const std::vector<int>& all() const { return descriptors_; }  // their owners' still
+  const std::vector<int>& all() const { return descriptors_; }  // still owned by their owners
 
  private:
   std::vector<int> descriptors_;
@@ -47,11 +46,11 @@
  public:
   void add(FileDescriptor fd) { descriptors_.push_back(std::move(fd)); }
   std::size_t size() const { return descriptors_.size(); }
-  // Each once; throws std::out_of_range for one that is not there.
-  FileDescriptor extract(std::uint32_t position) {
-    FileDescriptor taken = std::move(descriptors_.at(position));
-    if (taken.get() < 0) throw std::out_of_range("a descriptor that was not handed over");
-    return taken;
+  // Each index can be extracted once; throws std::out_of_range otherwise.
+  FileDescriptor extract(std::uint32_t index) {
+    FileDescriptor descriptor = std::move(descriptors_.at(index));
+    if (descriptor.get() < 0) throw std::out_of_range("descriptor was already extracted");
+    return descriptor;
   }
 
  private:
--- a/src/base/names.hpp
+++ b/src/base/names.hpp
@@ -1,4 +1,4 @@
-// Names by their position in a list.
+// Lookup of names by their position in a list, and validation of names.
 #pragma once
 
 #include <algorithm>
@@ -17,13 +17,13 @@
   return static_cast<std::uint32_t>(it - names.begin());
 }
 
-// Past the end for a name that is not there.
+// The list's size if the name is not found.
 inline std::uint32_t position_of(const std::vector<std::string>& names, std::string_view name) {
   return find_position(names, name).value_or(static_cast<std::uint32_t>(names.size()));
 }
 
-// Of a relay, a zone or a build, where it becomes a part of a key or a path: letters, digits, '-', '_' and
-// '.'.
+// Whether the name of a relay, a zone or a build can be part of a key or a path: letters, digits, '-', '_'
+// and '.', not beginning with '.'.
 inline bool is_plain_name(std::string_view name) {
   constexpr std::size_t kMaxLength = 128;
   constexpr std::string_view kAllowedCharacters =
--- a/src/base/number.hpp
+++ b/src/base/number.hpp
@@ -1,4 +1,4 @@
-// Numbers as text, read strictly.
+// Strict parsing of numbers.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace fennellane {
 
-// Digits only, and no more than `most`; nothing for anything else.
-std::optional<std::uint64_t> parse_unsigned(std::string_view text, std::uint64_t most);
+// Accepts only digits and values up to `max`; otherwise returns nothing.
+std::optional<std::uint64_t> parse_unsigned(std::string_view text, std::uint64_t max);
 
 }  // namespace fennellane
--- a/src/base/replace_file.cpp
+++ b/src/base/replace_file.cpp
@@ -12,7 +12,7 @@
 namespace fennellane {
 namespace {
 
-// 0, or the errno.
+// Returns 0 or the errno.
 int write_file(const std::string& path, std::string_view text) {
   const FileDescriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
   return file.get() < 0 ? errno : write_all(file.get(), text);
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-bool replace_file(const std::string& path, const std::string& fresh, std::string_view text) {
-  int error = write_file(fresh, text);
-  if (error == 0 && ::rename(fresh.c_str(), path.c_str()) != 0) error = errno;
+bool replace_file(const std::string& path, const std::string& temporary, std::string_view text) {
+  int error = write_file(temporary, text);
+  if (error == 0 && ::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
   if (error == 0) return true;
-  ::unlink(fresh.c_str());  // guards the disk's limit against half a file
+  ::unlink(temporary.c_str());  // a partial file would count against the disk limit
   errno = error;
   return false;
 }
--- a/src/base/replace_file.hpp
+++ b/src/base/replace_file.hpp
@@ -1,4 +1,4 @@
-// A small file that is there whole or as it was before.
+// Atomic replacement of a small file.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace fennellane {
 
-// Writes the text beside the file, under `fresh`, and gives it the file's name. False, with errno, if the
-// disk does not take it: the file is as it was, and what was begun is gone.
-bool replace_file(const std::string& path, const std::string& fresh, std::string_view text);
+// Writes the text to the file `temporary` and renames it to `path`. Returns false and sets errno on failure:
+// the file at `path` is unchanged and the temporary file is removed.
+bool replace_file(const std::string& path, const std::string& temporary, std::string_view text);
 
 }  // namespace fennellane
--- a/src/base/write_all.hpp
+++ b/src/base/write_all.hpp
@@ -1,11 +1,11 @@
-// Writing a whole text to a file descriptor that blocks.
+// Writes all of a text to a blocking file descriptor.
 #pragma once
 
 #include <string_view>
 
 namespace fennellane {
 
-// 0, or the errno with which it failed; a part may have been written then.
+// Returns 0 or the errno of the failure; part of the text may have been written by then.
 int write_all(int descriptor, std::string_view text);
 
 }  // namespace fennellane
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-// Version 1 has no fences, and both older ones have moments on the wall clock. They are read and written
-// anew.
+// Version 1 has no fences, and versions 1 and 2 store wall clock times. Both are read and rewritten in the
+// current version.
 constexpr std::string_view kMagic = "fennellane journal 3\n";
 constexpr std::string_view kOlderMagic[] = {"fennellane journal 1\n", "fennellane journal 2\n"};
 constexpr const char* kFileName = "journal";
 constexpr const char* kNewFileName = "journal.new";
-constexpr std::uint64_t kReservedRecordBytes = 128;  // room kept for what a held message still writes
-constexpr std::uint64_t kMaxHeaderBytes = 160;       // the magic, a clock and a fence take less
+constexpr std::uint64_t kReservedRecordBytes = 128;  // space reserved for further records of a held message
+constexpr std::uint64_t kMaxHeaderBytes = 160;       // the magic, a clock and a fence fit in it
 
 std::string failure_text(const std::string& operation, int error) {
   return "cannot " + operation + ": " + std::strerror(error);
@@ -36,15 +36,15 @@
   throw JournalError(failure_text(operation, error), error);
 }
 
-std::string read_all(int fd, const std::string& what) {
+std::string read_all(int fd, const std::string& name) {
   std::string text;
-  char piece[16384];
+  char buffer[16384];
   while (true) {
-    const ssize_t n = ::read(fd, piece, sizeof piece);
+    const ssize_t n = ::read(fd, buffer, sizeof buffer);
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) throw_failure("read " + what);
+    if (n < 0) throw_failure("read " + name);
     if (n == 0) return text;
-    text.append(piece, static_cast<std::size_t>(n));
+    text.append(buffer, static_cast<std::size_t>(n));
   }
 }
 
@@ -56,7 +56,7 @@
 bool is_known_magic(std::string_view start) {
   return start == kMagic || start == kOlderMagic[0] || start == kOlderMagic[1];
 }
-// The first bytes of a file whose creation a crash cut short.
+// A truncated magic: the creation of the file was interrupted by a crash.
 bool is_torn_magic(std::string_view start) {
   return start.size() < kMagic.size() && (kMagic.starts_with(start) || kOlderMagic[0].starts_with(start) ||
                                           kOlderMagic[1].starts_with(start));
@@ -71,10 +71,10 @@
   return lock.get() >= 0 && !try_lock(lock) && errno == EWOULDBLOCK;
 }
 
-FileDescriptor lock_journal(const std::string& folder, Time wait) {
+FileDescriptor lock_journal(const std::string& folder, Time timeout) {
   FileDescriptor lock = open_folder(folder);
   if (lock.get() < 0) throw_failure("open " + folder);
-  const auto end = std::chrono::steady_clock::now() + wait;
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!try_lock(lock)) {
     if (errno != EWOULDBLOCK && errno != EINTR) throw_failure("lock " + folder);
     if (std::chrono::steady_clock::now() >= end)
@@ -84,23 +84,23 @@
   return lock;
 }
 
-Journal::Journal(std::string folder, std::uint64_t most_bytes, Access access)
-    : folder_(std::move(folder)), max_bytes_(most_bytes), owned_(access == Access::owner) {
-  if (owned_) ::unlink(path(kNewFileName).c_str());  // of a compaction that a crash cut short
+Journal::Journal(std::string folder, std::uint64_t max_bytes, Access access)
+    : folder_(std::move(folder)), max_bytes_(max_bytes), owned_(access == Access::owner) {
+  if (owned_) ::unlink(path(kNewFileName).c_str());  // left by a compaction that a crash interrupted
   const int create = owned_ ? O_CREAT : 0;
   file_ = FileDescriptor(::open(path(kFileName).c_str(), O_RDWR | create | O_APPEND | O_CLOEXEC, 0644));
   if (file_.get() < 0) throw_failure("open " + path(kFileName));
   const std::string text = read_all(file_.get(), path(kFileName));
   const std::string_view start = std::string_view(text).substr(0, kMagic.size());
   if (is_torn_magic(start)) {
-    if (!owned_) throw JournalError(path(kFileName) + " is not whole");
+    if (!owned_) throw JournalError(path(kFileName) + " is incomplete");
     needs_rewrite_ = true;
   } else if (is_known_magic(start)) {
     size_ = kMagic.size();
     replay(std::string_view(text).substr(kMagic.size()));
     convert_to_current_clock();
   } else {
-    throw JournalError(path(kFileName) + " is no journal that this program knows");
+    throw JournalError(path(kFileName) + " is not a journal of a known version");
   }
   if (!owned_) return;
   if (needs_rewrite_) {
@@ -127,8 +127,8 @@
   compact();
 }
 
-// The moments read are on the clock that the file names. An owner writes them anew on its own before it
-// appends.
+// Points in time are read on the clock that the file names. An owner rewrites the file on its own clock
+// before it appends.
 void Journal::convert_to_current_clock() {
   const ClockReading now = read_current_clock();
   const Time shift = clock_ ? steady_shift(*clock_, now) : wall_shift(now);
@@ -140,7 +140,7 @@
   }
 }
 
-// The one place that says what a record means: for those just written and for those read at a start.
+// The single interpretation of records, both for those just written and those read at startup.
 bool Journal::apply(std::string_view payload) {
   PayloadReader r(payload);
   const RecordKind kind{r.get<std::uint8_t>()};
@@ -194,21 +194,21 @@
 }
 
 bool Journal::has_room(std::size_t id_size, std::size_t body_size) const {
-  // A quarter stays free, so that a full journal is not compacted at every record.
+  // A quarter stays free, so that a full journal is not compacted with every record.
   JournalEntry empty;
-  const std::uint64_t entry = entry_record_size(empty) + id_size + body_size + kReservedRecordBytes;
+  const std::uint64_t new_entry = entry_record_size(empty) + id_size + body_size + kReservedRecordBytes;
   const std::uint64_t live = kMaxHeaderBytes + live_bytes_ + held_.size() * kReservedRecordBytes;
-  return live + entry <= max_bytes_ / 4 * 3;
+  return live + new_entry <= max_bytes_ / 4 * 3;
 }
 
-// Always false, so that callers can return it.
+// Always returns false, for callers to return.
 bool Journal::fail(const char* operation, int error) {
   failure_ = StorageFailure{operation, error};
   return false;
 }
 
-// Guards against a process that has been fenced off and does not know it: an owner knows its file to the
-// byte, and in one that has grown, or is no longer the one in the folder, it looks for a later fence.
+// Detects that this process has been fenced off: an owner knows the exact size of its file. If the file has
+// grown, or is no longer the one in the folder, checks for a later fence.
 bool Journal::is_unchanged() {
   if (!owned_) throw JournalError("the journal has another owner");
   struct stat found {};
@@ -219,14 +219,14 @@
   return fail("find the journal as it was left", found.st_nlink == 0 ? ENOENT : EIO);
 }
 
-// Whether no later fence stands in the folder; false where that cannot be told now. Throws JournalError where
-// one does.
+// Whether the journal in the folder has no later fence; false if that cannot be determined now. Throws
+// JournalError if there is one.
 bool Journal::confirm_ownership() {
   if (!owned_) throw JournalError("the journal has another owner");
   try {
     if (Journal(folder_, max_bytes_, Access::observer).generation() <= generation_) return true;
   } catch (const JournalError& e) {
-    // None is there, or nothing that a process of this program has written.
+    // There is no journal, or none that this program has written.
     if (e.error() == ENOENT || e.error() == 0) return true;
     return fail("look at the journal", e.error());
   }
@@ -235,8 +235,8 @@
 }
 
 void Journal::fence(Generation to) {
-  // Guards the next owner against a file that tells less than this one knows.
-  if (needs_rewrite_) throw JournalError("the journal has to be written anew first", EIO);
+  // The next owner would read a file that lacks records this one has.
+  if (needs_rewrite_) throw JournalError("the journal must be rewritten first", EIO);
   if (!append(add_frame(PayloadWriter(RecordKind::fence, to).text()))) {
     throw JournalError(failure_->text(), failure_->error);
   }
@@ -245,14 +245,14 @@
 }
 
 bool Journal::file_replaced() const {
-  struct stat here {
-  }, known{};
-  return ::stat(path(kFileName).c_str(), &here) != 0 || ::fstat(file_.get(), &known) != 0 ||
-         here.st_ino != known.st_ino || here.st_dev != known.st_dev;
+  struct stat current {
+  }, opened{};
+  return ::stat(path(kFileName).c_str(), &current) != 0 || ::fstat(file_.get(), &opened) != 0 ||
+         current.st_ino != opened.st_ino || current.st_dev != opened.st_dev;
 }
 
 void Journal::catch_up() {
-  // It was compacted.
+  // The owner has compacted the journal.
   if (file_replaced()) {
     *this = Journal(folder_, max_bytes_, Access::observer);
     return;
@@ -262,20 +262,21 @@
 }
 
 void Journal::claim(Generation generation) {
-  if (owned_) throw JournalError("the journal is owned already");
-  // Guards against a state that is older than the journal: its owner must have been frozen since.
-  const std::uint64_t known = size_;
-  const Generation before = generation_;
-  if (file_replaced()) throw JournalError("the journal has gone on since");
+  if (owned_) throw JournalError("the journal is already owned");
+  // The known state must match the file; otherwise this process was frozen while another one wrote.
+  const std::uint64_t known_size = size_;
+  const Generation previous = generation_;
+  if (file_replaced()) throw JournalError("the journal has been changed since");
   catch_up();
-  const std::uint64_t fence =
-      generation_ == before ? 0 : add_frame(PayloadWriter(RecordKind::fence, 0).text()).size();
-  if (truncated_bytes_ > 0 || size_ != known + fence) throw JournalError("the journal has gone on since");
+  const std::uint64_t fence_size =
+      generation_ == previous ? 0 : add_frame(PayloadWriter(RecordKind::fence, 0).text()).size();
+  if (truncated_bytes_ > 0 || size_ != known_size + fence_size)
+    throw JournalError("the journal has been changed since");
   const bool fenced = generation_ == generation;
   if (!fenced && generation_ + 1 != generation) throw JournalError("the journal has another owner");
   owned_ = true;
   if (fenced) return;
-  this->fence(generation);
+  fence(generation);
   owned_ = true;
 }
 
@@ -284,7 +285,7 @@
   if (size_ + record.size() > max_bytes_ && !compact()) return false;
   if (size_ + record.size() > max_bytes_) return fail("write beyond the journal's limit", ENOSPC);
   if (const int error = write_all(file_.get(), record); error != 0) {
-    // Guards against half a record, behind which nothing would be read.
+    // Records after a partial one would not be read.
     needs_rewrite_ = ::ftruncate(file_.get(), static_cast<off_t>(size_)) != 0;
     return fail("write the journal", error);
   }
@@ -295,7 +296,7 @@
 }
 
 void Journal::apply_written(const std::string& payload) {
-  if (!apply(payload)) throw JournalError("a record of a message that is not held");
+  if (!apply(payload)) throw JournalError("record of a message that is not held");
 }
 
 bool Journal::write_then_apply(const std::string& payload) {
@@ -333,7 +334,7 @@
   int error = write_all(file.get(), text);
   if (error == 0 && ::rename(path(kNewFileName).c_str(), path(kFileName).c_str()) != 0) error = errno;
   if (error != 0) {
-    ::unlink(path(kNewFileName).c_str());  // guards the disk's limit against half a file
+    ::unlink(path(kNewFileName).c_str());  // a partial file would count against the disk limit
     return fail("write a new journal", error);
   }
   file_ = std::move(file);
@@ -362,9 +363,11 @@
   apply_best_effort(
       PayloadWriter(RecordKind::outcome, stream).put(static_cast<std::uint8_t>(may_have_run)).text());
 }
-void Journal::message_given_up(StreamId stream, Verdict verdict, Time again) {
-  apply_best_effort(
-      PayloadWriter(RecordKind::given_up, stream).put(static_cast<std::uint8_t>(verdict)).put(again).text());
+void Journal::message_given_up(StreamId stream, Verdict verdict, Time retry_after) {
+  apply_best_effort(PayloadWriter(RecordKind::given_up, stream)
+                        .put(static_cast<std::uint8_t>(verdict))
+                        .put(retry_after)
+                        .text());
 }
 void Journal::message_ended(StreamId stream) {
   apply_best_effort(PayloadWriter(RecordKind::ended, stream).text());
--- a/src/journal/journal.hpp
+++ b/src/journal/journal.hpp
@@ -1,16 +1,16 @@
-// What the relay has taken on and not yet ended, in a file that outlasts the process.
+// Journal of the messages that the relay has accepted and not yet ended, in a file that outlives the process.
 //
-// It has one owner at any moment. Whoever opens it holds a lock on the folder, which a process that is
-// started beside it does not get. Within a handover, where both processes share the lock, a fence record
-// names the owner's generation, and an owner that finds a later one can't write.
+// It has one owner at any time. An opener holds a lock on the folder, which excludes other processes. During
+// a handover, when both processes share the lock, a fence record names the owner's generation, and an owner
+// that finds a later one cannot write.
 //
-// Records are only appended, each with its length and checksum. A torn tail, as a crash leaves it, is cut.
-// When the file is full, what is still held is written to a second file that then takes the first one's name,
-// so a crash at any moment leaves one whole journal.
+// Records are only appended, each with its length and checksum. A torn tail left by a crash is truncated.
+// When the file is full, the messages still held are written to a second file, which is renamed over the
+// first, so a crash at any time leaves one complete journal.
 //
-// Storage may fail for a while. Then nothing is recorded that has to stand in the file first, and what has
-// happened all the same is kept in memory. `repair` writes all that is held to a new file. docs/storage.md
-// has the states and what each failure costs.
+// Storage may fail for a while. During that time, events that must be recorded before they happen are
+// refused, and events that happen anyway are kept in memory. `repair` writes all held messages to a new file.
+// docs/storage.md describes the states and the cost of each failure.
 #pragma once
 
 #include <cstdint>
@@ -28,15 +28,17 @@
 
 class JournalError : public std::runtime_error {
  public:
-  explicit JournalError(const std::string& what, int error = 0) : std::runtime_error(what), error_(error) {}
-  // The errno of the system call that failed, EWOULDBLOCK where another process holds the lock; 0: none did.
+  explicit JournalError(const std::string& message, int error = 0)
+      : std::runtime_error(message), error_(error) {}
+  // The errno of the failed system call, EWOULDBLOCK if another process holds the lock; 0 if no system call
+  // failed.
   int error() const { return error_; }
 
  private:
   int error_;
 };
 
-// What storage has failed at.
+// The storage operation that failed.
 struct StorageFailure {
   std::string operation;
   int error = 0;  // errno
@@ -45,58 +47,60 @@
 
 using Generation = std::uint64_t;  // of the journal's owner; the first is 1
 
-// The lock on the folder: held while the descriptor, or a copy of it in another process, is open. Waits for
-// it for so long; throws JournalError if another process has it then, or the folder cannot be used.
-FileDescriptor lock_journal(const std::string& folder, Time wait);
-// Whether some process holds it.
+// Locks the folder. The lock is held while the descriptor, or a duplicate of it in another process, is open.
+// Waits up to `timeout`; throws JournalError if another process still holds the lock then, or the folder
+// cannot be used.
+FileDescriptor lock_journal(const std::string& folder, Time timeout);
+// Whether a process holds the lock.
 bool journal_is_locked(const std::string& folder);
 
 class Journal {
  public:
-  Journal() = default;  // none: owned by nobody, holds nothing
-  // Opens the journal in the folder and reads it as far as it is sound. Throws JournalError where it cannot
-  // be opened or read, or is no journal; where it can only not be written, it fails as it does later. An
-  // observer writes nothing, not even a cut, until `claim`.
+  Journal() = default;  // an empty journal that is not owned
+  // Opens the journal in the folder and reads it up to the first invalid record. Throws JournalError if it
+  // cannot be opened or read, or is not a journal; if only writing fails, the failure is reported as any
+  // later one. An observer writes nothing, not even a truncation, until `claim`.
   enum class Access { owner, observer };
-  Journal(std::string folder, std::uint64_t most_bytes, Access access = Access::owner);
+  Journal(std::string folder, std::uint64_t max_bytes, Access access = Access::owner);
 
-  // Moments are on the steady clock of this boot.
+  // Points in time are on the steady clock of this boot.
   const std::map<StreamId, JournalEntry>& held() const { return held_; }
   StreamId next_stream() const { return next_stream_; }
-  // Whether a message can be taken on so that its later records, and a compaction, fit as well.
+  // Whether a message can be accepted so that its later records and a compaction fit as well.
   bool has_room(std::size_t id_size, std::size_t body_size) const;
 
-  // The last record of this owner: from it on only the owner of that generation can append. Throws
-  // JournalError if it cannot be written; this one owns the journal still.
+  // Writes the last record of this owner: afterwards only the owner of generation `to` can append. Throws
+  // JournalError if it cannot be written; this owner then still owns the journal.
   void fence(Generation to);
-  // Of an observer: reads what the owner has written since. Throws JournalError.
+  // For an observer: reads what the owner has written since. Throws JournalError.
   void catch_up();
-  // An observer, or an owner that has fenced itself off, becomes the owner: the newest fence names this
-  // generation, or the one before, whose owner is known to be dead and is fenced off first. Throws
-  // JournalError otherwise, and if the file holds anything but that fence that this one has not seen.
+  // Makes an observer, or an owner that has fenced itself off, the owner: the newest fence must name this
+  // generation or the one before, whose owner is known to be dead and is fenced off first. Throws
+  // JournalError otherwise, and if the file holds unread records other than that fence.
   void claim(Generation generation);
-  Generation generation() const { return generation_; }  // that the newest fence names
+  Generation generation() const { return generation_; }  // named by the newest fence
   bool owned() const { return owned_; }
 
-  // Records that must stand in the file before what they tell of happens. False, and nothing has changed,
-  // while storage fails. These and all others throw JournalError only where the journal is another process's.
+  // Records that must be in the file before the event they describe happens. Returns false without any change
+  // while storage fails. These and all others throw JournalError only if another process owns the journal.
   bool message_accepted(StreamId stream, JournalEntry entry);
   bool attempt_started(StreamId stream, Time now, std::uint32_t zone);
-  // Of what happens whether or not it is recorded: in memory at once, in the file when it can be written.
+  // Records of events that happen whether or not they can be recorded: applied in memory at once, and written
+  // to the file when possible.
   void attempt_started_best_effort(StreamId stream, Time now, std::uint32_t zone);
   void attempt_ended(StreamId stream, bool may_have_run);
-  void message_given_up(StreamId stream, Verdict verdict, Time again);
+  void message_given_up(StreamId stream, Verdict verdict, Time retry_after);
   void message_ended(StreamId stream);
 
-  // What the newest write failed at, until one succeeds or `repair` does.
+  // The failure of the last write, until a write or `repair` succeeds.
   const std::optional<StorageFailure>& failure() const { return failure_; }
-  // Writes all that is held to a new file; true if nothing fails any more.
+  // Writes all held messages to a new file; true if storage works again.
   bool repair();
 
   std::uint64_t size() const { return size_; }
   std::uint64_t records() const { return records_; }
   std::uint64_t compactions() const { return compactions_; }
-  std::uint64_t truncated_bytes() const { return truncated_bytes_; }  // of a torn tail, when it was last read
+  std::uint64_t truncated_bytes() const { return truncated_bytes_; }  // of a torn tail, at the last read
 
  private:
   bool write_then_apply(const std::string& payload);
@@ -107,11 +111,11 @@
   bool fail(const char* operation, int error);
   void apply_written(const std::string& payload);
   bool apply(std::string_view payload);
-  // Records that follow what is known.
+  // Applies records that follow the known ones.
   void replay(std::string_view records);
   void convert_to_current_clock();
   void truncate_torn_tail();
-  bool file_replaced() const;  // the journal in the folder is another file
+  bool file_replaced() const;  // the journal in the folder is a different file
   std::string compacted_text() const;
   bool compact();
   std::string path(const char* name) const { return folder_ + "/" + name; }
@@ -122,13 +126,13 @@
   bool owned_ = false;
   FileDescriptor file_;
   std::uint64_t size_ = 0;
-  std::uint64_t live_bytes_ = 0;  // bytes that a compaction would write
+  std::uint64_t live_bytes_ = 0;  // bytes of entries that a compaction would write
   std::map<StreamId, JournalEntry> held_;
   StreamId next_stream_ = 1;
-  std::optional<journal::ClockReading>
-      clock_;  // of the file; none: of a version whose moments are on the wall clock
+  // of the file; none: a file of a version with wall clock times
+  std::optional<journal::ClockReading> clock_;
   std::optional<StorageFailure> failure_;
-  bool needs_rewrite_ = false;  // the file tells less than memory, or has an unsound tail
+  bool needs_rewrite_ = false;  // the file lacks records that memory has, or has an invalid tail
   std::uint64_t records_ = 0;
   std::uint64_t compactions_ = 0;
   std::uint64_t truncated_bytes_ = 0;
--- a/src/journal/record_codec.cpp
+++ b/src/journal/record_codec.cpp
@@ -7,7 +7,7 @@
 namespace fennellane::journal {
 namespace {
 
-constexpr std::size_t kMaxRecordSize = kMiB;  // far over any record that is written
+constexpr std::size_t kMaxRecordSize = kMiB;  // well above the size of any record
 
 std::uint32_t checksum(std::string_view text) {
   return static_cast<std::uint32_t>(
@@ -54,7 +54,7 @@
   if (const auto verdict = r.get<std::uint8_t>(); verdict != 0) e.verdict = static_cast<Verdict>(verdict);
   e.retry_after = r.time();
   e.body = std::make_shared<const std::string>(r.text());
-  if (!r.complete()) e.idempotency_key = r.text();  // older versions have none
+  if (!r.complete()) e.idempotency_key = r.text();  // absent in older versions
   return e;
 }
 
--- a/src/journal/record_codec.hpp
+++ b/src/journal/record_codec.hpp
@@ -1,5 +1,5 @@
-// Records of the journal as bytes: a frame of length and checksum around a payload of a kind, a stream and
-// what belongs to it, all numbers little-endian.
+// Encoding of journal records: a frame of length and checksum around a payload of a kind, a stream and its
+// fields; all numbers little-endian.
 #pragma once
 
 #include <optional>
@@ -45,7 +45,7 @@
   std::string text_;
 };
 
-// Reads what a PayloadWriter wrote; beyond the end it gives zeros and is not whole.
+// Reads the output of a PayloadWriter; past the end it returns zeros and is not complete.
 class PayloadReader {
  public:
   explicit PayloadReader(std::string_view text) : text_(text) {}
@@ -66,7 +66,7 @@
     return std::chrono::microseconds(static_cast<std::int64_t>(get<std::uint64_t>()));
   }
   std::string text();
-  // Whether exactly all of it has been read.
+  // Whether exactly the whole payload has been read.
   bool complete() const { return valid_ && text_.empty(); }
 
  private:
@@ -79,12 +79,12 @@
 std::string clock_payload(const ClockReading& clock);
 ClockReading read_clock(PayloadReader& reader);
 
-// The payload with its length and checksum in front.
+// The payload with its length and checksum prepended.
 std::string add_frame(const std::string& payload);
-// Of an entry's record, frame included.
+// Size of an entry's record, including its frame.
 std::size_t entry_record_size(const JournalEntry& entry);
 
-// The payload of the first record, if it is whole and its checksum right.
+// The payload of the first record, if it is complete and its checksum is correct.
 std::optional<std::string_view> first_payload(std::string_view records);
 constexpr std::size_t kFrameSize = 8;
 
--- a/tests/journal_property_test.cpp
+++ b/tests/journal_property_test.cpp
@@ -1,4 +1,4 @@
-// The journal against a plain map, while its disk takes only a part of what is written, and over crashes.
+// Property tests of the journal against a map as a model, with writes that fail partway and with crashes.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <stdlib.h>
@@ -16,33 +16,33 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::uint64_t kMostBytes = 6000;
+constexpr std::uint64_t kMaxBytes = 6000;
 
-// A disk on which no file grows beyond a size.
-class Disk {
+// Limits the size of files, as a full disk does.
+class DiskLimit {
  public:
-  Disk() {
+  DiskLimit() {
     std::signal(SIGXFSZ, SIG_IGN);
-    getrlimit(RLIMIT_FSIZE, &usual_);
+    getrlimit(RLIMIT_FSIZE, &original_);
   }
-  ~Disk() { heal(); }
-  Disk(const Disk&) = delete;
-  Disk& operator=(const Disk&) = delete;
-  void fail_beyond(std::uint64_t size) {
-    const rlimit full{static_cast<rlim_t>(size), usual_.rlim_max};
+  ~DiskLimit() { remove_limit(); }
+  DiskLimit(const DiskLimit&) = delete;
+  DiskLimit& operator=(const DiskLimit&) = delete;
+  void limit_file_size(std::uint64_t size) {
+    const rlimit full{static_cast<rlim_t>(size), original_.rlim_max};
     setrlimit(RLIMIT_FSIZE, &full);
   }
-  void heal() { setrlimit(RLIMIT_FSIZE, &usual_); }
+  void remove_limit() { setrlimit(RLIMIT_FSIZE, &original_); }
 
  private:
-  rlimit usual_{};
+  rlimit original_{};
 };
 
-// What a life knows of a message, as text that can be compared.
+// A journal's held messages, as text for comparison.
 using Held = std::map<StreamId, std::string>;
 std::string text_of(const JournalEntry& e) {
-  return e.id + " " + std::to_string(e.attempts) + (e.in_flight ? " out" : "") +
-         (e.may_have_run ? " doubt" : "") + (e.verdict ? " given up " : " ") + *e.body;
+  return e.id + " " + std::to_string(e.attempts) + (e.in_flight ? " in flight" : "") +
+         (e.may_have_run ? " may have run" : "") + (e.verdict ? " given up " : " ") + *e.body;
 }
 Held held_of(const Journal& journal) {
   Held held;
@@ -50,25 +50,25 @@
   return held;
 }
 
-// What the next life reads after a crash at this moment, `torn` bytes of the next record already written.
-Held after_a_crash(const std::string& folder, std::size_t torn) {
+// What the next process reads after a crash at this point, with `torn` bytes of the next record written.
+Held read_after_crash(const std::string& folder, std::size_t torn) {
   const standin::TemporaryFolder copy("journal");
   fs::copy_file(folder + "/journal", copy.path() + "/journal");
   std::ofstream(copy.path() + "/journal", std::ios::app | std::ios::binary) << std::string(torn, '\x07');
-  return held_of(Journal(copy.path(), kMostBytes));
+  return held_of(Journal(copy.path(), kMaxBytes));
 }
 
-class Story {
+class JournalScenario {
  public:
-  Story() : journal_(folder_.path(), kMostBytes) {}
+  JournalScenario() : journal_(folder_.path(), kMaxBytes) {}
 
   void step() {
     switch (*rc::gen::inRange(0, 10)) {
       case 0:
-        disk_.fail_beyond(journal_.size() + *rc::gen::inRange<std::uint64_t>(0, 60));
+        disk_limit_.limit_file_size(journal_.size() + *rc::gen::inRange<std::uint64_t>(0, 60));
         break;
       case 1:
-        disk_.heal();
+        disk_limit_.remove_limit();
         break;
       case 2:
         journal_.repair();
@@ -79,30 +79,30 @@
     RC_ASSERT(held_of(journal_) == model_);
     const Held read = read_copy();
     if (!journal_.failure()) RC_ASSERT(read == model_);
-    // A step that fails may have written all anew before, so the file may have caught up.
+    // A failed step may have rewritten the journal before it failed, so the file may be up to date.
     if (read == model_) recorded_ = model_;
     RC_ASSERT(read == recorded_);
   }
   void finish() {
-    disk_.heal();
+    disk_limit_.remove_limit();
     RC_ASSERT(journal_.repair());
     RC_ASSERT(read_copy() == model_);
   }
 
  private:
-  // The disk's limit binds this process; the copy must be whole.
+  // The file size limit applies to this process; the copy must be complete.
   Held read_copy() {
     rlimit now{};
     getrlimit(RLIMIT_FSIZE, &now);
-    disk_.heal();
-    const Held read = after_a_crash(folder_.path(), *rc::gen::inRange<std::size_t>(0, 12));
+    disk_limit_.remove_limit();
+    const Held read = read_after_crash(folder_.path(), *rc::gen::inRange<std::size_t>(0, 12));
     setrlimit(RLIMIT_FSIZE, &now);
     return read;
   }
 
   void record() {
-    const bool begins = entries_.empty() || *rc::gen::inRange(0, 3) == 0;
-    if (begins) return take_on();
+    const bool accepts = entries_.empty() || *rc::gen::inRange(0, 3) == 0;
+    if (accepts) return accept();
     const auto it =
         std::next(entries_.begin(), *rc::gen::inRange<long>(0, static_cast<long>(entries_.size())));
     const StreamId stream = it->first;
@@ -131,7 +131,7 @@
     }
     model_[stream] = text_of(e);
   }
-  void take_on() {
+  void accept() {
     JournalEntry e;
     const StreamId stream = next_++;
     e.id = "m" + std::to_string(stream);
@@ -142,38 +142,39 @@
   }
 
   const standin::TemporaryFolder folder_{"journal"};
-  Disk disk_;
+  DiskLimit disk_limit_;
   Journal journal_;
   StreamId next_ = 1;
   std::map<StreamId, JournalEntry> entries_;
-  Held model_;     // as the journal says it
-  Held recorded_;  // as the file has to say it while storage fails
+  Held model_;     // the expected state in memory
+  Held recorded_;  // the expected state of the file while storage fails
 };
 
-TEST(JournalProperty, TellsTheNextLifeWhatHasBeenRecordedWhateverTheDiskTakes) {
+TEST(JournalProperty, RestoresRecordedStateDespiteDiskFailures) {
   EXPECT_TRUE(rc::check([] {
-    Story story;
+    JournalScenario scenario;
     const int steps = *rc::gen::inRange(1, 60);
-    for (int i = 0; i < steps; ++i) story.step();
-    story.finish();
+    for (int i = 0; i < steps; ++i) scenario.step();
+    scenario.finish();
   }));
 }
 
-// Guards against bytes that changed on the disk: what is read is what had been recorded, up to some point.
-TEST(JournalProperty, ReadsNothingThatWasNotRecordedFromAFileThatWasDamaged) {
+// After bytes of the file were changed or lost, the journal must read a state that was recorded at some
+// point.
+TEST(JournalProperty, ReadsOnlyRecordedStatesFromADamagedFile) {
   EXPECT_TRUE(rc::check([] {
     const standin::TemporaryFolder folder("journal");
-    std::vector<Held> moments{{}};
+    std::vector<Held> states{{}};
     {
-      Journal journal(folder.path(), kMostBytes);
+      Journal journal(folder.path(), kMaxBytes);
       for (StreamId stream = 1; stream <= 6; ++stream) {
         JournalEntry e;
         e.id = "m" + std::to_string(stream);
         e.body = std::make_shared<const std::string>(20, 'x');
         RC_ASSERT(journal.message_accepted(stream, e));
-        moments.push_back(held_of(journal));
+        states.push_back(held_of(journal));
         RC_ASSERT(journal.attempt_started(stream, Time(5), 1));
-        moments.push_back(held_of(journal));
+        states.push_back(held_of(journal));
       }
     }
     const std::string path = folder.path() + "/journal";
@@ -185,8 +186,8 @@
     const std::size_t magic = 21;
     const auto at = *rc::gen::inRange<std::size_t>(magic, text.size());
     const auto size = *rc::gen::inRange<std::size_t>(1, 40);
-    const bool lost = *rc::gen::arbitrary<bool>();
-    if (lost) {
+    const bool erased = *rc::gen::arbitrary<bool>();
+    if (erased) {
       text.erase(at, size);
     } else {
       for (std::size_t i = at; i < std::min(text.size(), at + size); ++i) {
@@ -194,9 +195,9 @@
       }
     }
     std::ofstream(path, std::ios::binary) << text;
-    const Held read = held_of(Journal(folder.path(), kMostBytes));
-    RC_ASSERT(std::find(moments.begin(), moments.end(), read) != moments.end());
-    RC_ASSERT(held_of(Journal(folder.path(), kMostBytes)) == read);
+    const Held read = held_of(Journal(folder.path(), kMaxBytes));
+    RC_ASSERT(std::find(states.begin(), states.end(), read) != states.end());
+    RC_ASSERT(held_of(Journal(folder.path(), kMaxBytes)) == read);
   }));
 }
 
