--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-std::string timing_problem(const Timing& timing, Time least_ttl) {
-  if (timing.ttl < least_ttl || timing.ttl > std::chrono::hours(24))
-    return "ttl: Consul takes " + std::to_string(milliseconds_of(least_ttl)) + " ms to 86,400 s";
+std::string timing_problem(const Timing& timing, Time min_ttl) {
+  if (timing.ttl < min_ttl || timing.ttl > std::chrono::hours(24))
+    return "ttl: Consul takes " + std::to_string(milliseconds_of(min_ttl)) + " ms to 86,400 s";
   if (timing.margin < Time::zero()) return "margin: below zero";
   if (timing.call <= Time::zero() || timing.retry <= Time::zero() || timing.renew_every <= Time::zero())
     return "call, retry and renew_every: above zero";
-  // Guards against a lease that lapses between two renews that go well: the next renew is sent at
-  // `renew_every` and answered within `call`, and acting ends at `ttl - margin`.
+  // Otherwise the lease would lapse between two successful renews: the next renew is sent at `renew_every`
+  // and answered within `call`, and the lease ends at `ttl - margin`.
   if (timing.renew_every + timing.call >= timing.ttl - timing.margin)
     return "renew_every + call: under ttl - margin";
   if (timing.lock_delay < timing.call)
@@ -36,10 +36,10 @@
 }
 
 std::vector<Effect> Lease::handle(Time now, const Input& input) {
-  Effects out;
-  std::visit([&](const auto& in) { on(now, in, out); }, input);
-  if (pending_call_ == Call::none) next_call(now, out);
-  // The next moment at which something is due. What waits for an answer wakes with that answer.
+  Effects effects;
+  std::visit([&](const auto& in) { on(now, in, effects); }, input);
+  if (pending_call_ == Call::none) next_call(now, effects);
+  // The next time at which something is due. With a call in flight, the next step is taken on its answer.
   std::optional<Time> due;
   const auto consider = [&due](Time at) { due = due ? std::min(*due, at) : at; };
   if (state_ == State::active || state_ == State::holding) consider(active_until());
@@ -50,22 +50,22 @@
   if (due && (!timer_set_ || *due != timer_)) {
     timer_set_ = true;
     timer_ = *due;
-    out.push_back(SetTimer{*due});
+    effects.push_back(SetTimer{*due});
   }
-  return out;
+  return effects;
 }
 
-void Lease::next_call(Time now, Effects& out) {
+void Lease::next_call(Time now, Effects& effects) {
   if (!role_wanted_) {
     if (session_.empty()) {
       state_ = State::off;
       return;
     }
-    return release_session(has_lock(), out);
+    return release_session(has_lock(), effects);
   }
-  // Guards against a lock that is held and sought: this session lost it, or came too late.
+  // This session lost the lock, or another holds the key: the session is destroyed.
   if (lock_lost_ || (state_ == State::seeking && key_read_ && !key_available())) {
-    return release_session(false, out);
+    return release_session(false, effects);
   }
   if (session_.empty() && !key_available()) {
     state_ = State::waiting;
@@ -75,44 +75,44 @@
   if (session_.empty()) {
     state_ = State::creating;
     pending_call_ = Call::create;
-    out.push_back(CreateSession{timing_.ttl, timing_.lock_delay});
+    effects.push_back(CreateSession{timing_.ttl, timing_.lock_delay});
     return;
   }
   if (now >= confirmed_ + timing_.renew_every) {
     pending_call_ = Call::renew;
-    out.push_back(RenewSession{session_});
+    effects.push_back(RenewSession{session_});
     return;
   }
-  // Guards against a fleet asking Consul for a lock that is held: only a key read free is asked for; one held
-  // is waited for on the blocking read. The key is read first, as in Consul's lock recipe, so that an answer
-  // from before the acquire is known for one.
+  // Only a key that was read as free is acquired, so that the fleet does not keep requesting a held lock; for
+  // a held key the lease waits for the blocking read. The key is read first, as in Consul's lock recipe, so
+  // that an answer from before the acquire can be recognized.
   if (state_ == State::seeking && key_available()) {
     index_before_acquire_ = key_modify_index_;
     pending_call_ = Call::acquire;
-    out.push_back(AcquireLock{session_});
+    effects.push_back(AcquireLock{session_});
   }
 }
 
-void Lease::release_session(bool holds, Effects& out) {
+void Lease::release_session(bool holds, Effects& effects) {
   state_ = State::releasing;
   pending_call_ = Call::release;
-  out.push_back(ReleaseSession{session_, holds});
+  effects.push_back(ReleaseSession{session_, holds});
 }
 
-// With the key's token as last read: a lapse may have come before the key was first heard.
-void Lease::activate(Effects& out) {
+// Uses the token from the last read of the key: the lease may have lapsed before the first read.
+void Lease::activate(Effects& effects) {
   token_ = key_lock_index_;
   state_ = State::active;
-  out.push_back(LeaseActive{token_});
+  effects.push_back(LeaseActive{token_});
 }
 
-void Lease::deactivate(LogEvent event, const std::string& why, State next, Effects& out) {
-  if (state_ == State::active) out.push_back(LeaseInactive{why});
-  if (has_lock()) out.push_back(LogMessage{event, why + ", token " + std::to_string(token_)});
-  state_ = next;
+void Lease::deactivate(LogEvent event, const std::string& reason, State next_state, Effects& effects) {
+  if (state_ == State::active) effects.push_back(LeaseInactive{reason});
+  if (has_lock()) effects.push_back(LogMessage{event, reason + ", token " + std::to_string(token_)});
+  state_ = next_state;
 }
 
-// What is known of the key stays: it is the key's, not the session's.
+// Keeps what is known of the key, which does not depend on the session.
 void Lease::clear_session() {
   session_.clear();
   lock_lost_ = false;
@@ -120,123 +120,126 @@
   token_ = 0;
 }
 
-// Guards Consul against all that seek a role coming in one moment: each draws its own.
-void Lease::delay_next_attempt(Time now, Time least) {
-  Time later = now + least;
+// Randomized, so that the relays seeking a role do not all call Consul at the same moment.
+void Lease::delay_next_attempt(Time now, Time min_delay) {
+  Time at = now + min_delay;
   if (timing_.spread > Time::zero()) {
     std::mt19937_64 random(seed_ + ++random_draws_);
-    later += Time(std::uniform_int_distribution<Time::rep>(0, timing_.spread.count())(random));
+    at += Time(std::uniform_int_distribution<Time::rep>(0, timing_.spread.count())(random));
   }
-  next_attempt_ = std::max(next_attempt_, later);
+  next_attempt_ = std::max(next_attempt_, at);
 }
 
 void Lease::on(Time, const AcquireRole&, Effects&) { role_wanted_ = true; }
 
-void Lease::on(Time, const ResignRole&, Effects& out) {
+void Lease::on(Time, const ResignRole&, Effects& effects) {
   role_wanted_ = false;
-  if (has_lock()) deactivate(LogEvent::resigned, "given up", state_, out);
-  if (state_ == State::active) state_ = State::holding;  // no more acting; released by next_call
+  if (has_lock()) deactivate(LogEvent::resigned, "resigned", state_, effects);
+  // not active any more; next_call releases the session
+  if (state_ == State::active) state_ = State::holding;
 }
 
-void Lease::on(Time now, const SessionCreated& made, Effects& out) {
+void Lease::on(Time now, const SessionCreated& created, Effects& effects) {
   pending_call_ = Call::none;
-  session_ = made.id;
-  confirmed_ = made.sent;
+  session_ = created.id;
+  confirmed_ = created.sent;
   state_ = State::seeking;
   next_attempt_ = now;
-  out.push_back(LogMessage{LogEvent::session, "session " + made.id + " made"});
+  effects.push_back(LogMessage{LogEvent::session, "session " + created.id + " created"});
 }
 
-void Lease::on(Time now, const AcquireAnswered& answer, Effects& out) {
+void Lease::on(Time now, const AcquireAnswered& answer, Effects& effects) {
   pending_call_ = Call::none;
   if (state_ != State::seeking) return;
   if (!answer.acquired) {
-    // Refused: held by another, or within the lock-delay of a holder that is gone.
+    // Refused: the lock is held by another, or the lock-delay of an expired holder is running.
     delay_next_attempt(now, timing_.retry);
     return;
   }
   state_ = State::holding;
-  out.push_back(LogMessage{LogEvent::acquired, "acquired with session " + session_});
-  if (role_wanted_ && holds_key() && now < active_until()) activate(out);
+  effects.push_back(LogMessage{LogEvent::acquired, "acquired with session " + session_});
+  if (role_wanted_ && holds_key() && now < active_until()) activate(effects);
 }
 
-void Lease::on(Time now, const RenewAnswered& answer, Effects& out) {
+void Lease::on(Time now, const RenewAnswered& answer, Effects& effects) {
   pending_call_ = Call::none;
   if (!answer.session_alive) {
-    deactivate(LogEvent::lost, "session " + session_ + " is gone", State::waiting, out);
+    deactivate(LogEvent::lost, "session " + session_ + " was invalidated", State::waiting, effects);
     clear_session();
     return;
   }
   confirmed_ = std::max(confirmed_, answer.sent);
-  // The session lived when Consul read this renew; the lock is ours unless the key said otherwise.
+  // The session existed when Consul handled this renew, so it still holds the lock unless the key showed
+  // otherwise.
   if (state_ == State::lapsed && role_wanted_ && holds_key() && now < active_until()) {
-    out.push_back(
-        LogMessage{LogEvent::resumed, "renewed after a lapse, token " + std::to_string(key_lock_index_)});
-    activate(out);
+    effects.push_back(LogMessage{LogEvent::resumed,
+                                 "active again after a lapse, token " + std::to_string(key_lock_index_)});
+    activate(effects);
   }
 }
 
-void Lease::on(Time now, const CallFailed&, Effects& out) {
+void Lease::on(Time now, const CallFailed&, Effects& effects) {
   const Call failed = pending_call_;
   pending_call_ = Call::none;
   next_attempt_ = now + timing_.retry;
   if (failed == Call::release) {
-    // Consul invalidates it at its TTL in any case.
+    // Consul invalidates the session at its TTL in any case.
     clear_session();
     state_ = role_wanted_ ? State::waiting : State::off;
   } else if (failed == Call::renew) {
-    out.push_back(LogMessage{LogEvent::renew_missed, "renew missed"});
+    effects.push_back(LogMessage{LogEvent::renew_missed, "renew missed"});
   } else if (failed == Call::create) {
     state_ = State::waiting;
   }
 }
 
-void Lease::on(Time now, const KeyRead& seen, Effects& out) {
-  if (key_read_ && seen.modify_index < key_modify_index_ && !seen.index_reset) return;
-  if (seen.index_reset) index_before_acquire_ = 0;  // of a count that is over
+void Lease::on(Time now, const KeyRead& key, Effects& effects) {
+  if (key_read_ && key.modify_index < key_modify_index_ && !key.index_reset) return;
+  if (key.index_reset) index_before_acquire_ = 0;  // the recorded index predates the reset
   const bool was_free = key_available();
-  // Guards Consul against all who wait trying, and being refused, for as long as its lock-delay runs.
-  if (seen.lapsed && (!key_read_ || seen.index_reset || seen.modify_index > key_modify_index_))
+  // During the lock-delay every attempt of the waiting relays would be refused.
+  if (key.lapsed && (!key_read_ || key.index_reset || key.modify_index > key_modify_index_))
     delay_next_attempt(now, timing_.lock_delay);
-  key_modify_index_ = seen.modify_index;
+  key_modify_index_ = key.modify_index;
   key_read_ = true;
-  key_holder_ = seen.holder;
-  key_lock_index_ = seen.lock_index;
-  if (!was_free && key_available() && !seen.lapsed) delay_next_attempt(now, Time::zero());
-  const bool had = has_lock();
-  // An answer no newer than the read before our acquire tells nothing of what came after it.
-  if (had && seen.modify_index > index_before_acquire_ &&
-      (seen.holder != session_ || (state_ == State::active && seen.lock_index != token_))) {
-    deactivate(LogEvent::lost, seen.holder.empty() ? "the lock is gone" : "held by another", State::seeking,
-               out);
+  key_holder_ = key.holder;
+  key_lock_index_ = key.lock_index;
+  if (!was_free && key_available() && !key.lapsed) delay_next_attempt(now, Time::zero());
+  const bool had_lock = has_lock();
+  // An answer no newer than the read before the acquire does not show the state after it.
+  if (had_lock && key.modify_index > index_before_acquire_ &&
+      (key.holder != session_ || (state_ == State::active && key.lock_index != token_))) {
+    deactivate(LogEvent::lost,
+               key.holder.empty() ? "the lock is not held any more" : "the lock is held by another session",
+               State::seeking, effects);
     token_ = 0;
     lock_lost_ = true;
     return;
   }
-  // Seeking too: an acquire that Consul took but whose answer was lost shows here first.
-  if ((state_ == State::holding || state_ == State::seeking) && role_wanted_ && seen.holder == session_) {
+  // Also while seeking: if the answer to a successful acquire was lost, the key shows it first.
+  if ((state_ == State::holding || state_ == State::seeking) && role_wanted_ && key.holder == session_) {
     if (now >= active_until()) {
       state_ = State::lapsed;
       return;
     }
-    activate(out);
+    activate(effects);
   }
 }
 
-void Lease::on(Time now, const SessionReleased&, Effects& out) {
+void Lease::on(Time now, const SessionReleased&, Effects& effects) {
   pending_call_ = Call::none;
-  out.push_back(LogMessage{LogEvent::session, "session " + session_ + " destroyed"});
+  effects.push_back(LogMessage{LogEvent::session, "session " + session_ + " destroyed"});
   clear_session();
   state_ = role_wanted_ ? State::waiting : State::off;
-  // Guards the others' turn: whoever has just given the role up, or lost it, comes behind all who wait for
+  // A relay that has just resigned or lost the role waits longer than all that seek it, so that another gets
   // it.
   next_attempt_ = std::max(next_attempt_, now + timing_.retry + timing_.spread);
 }
 
-void Lease::on(Time now, const TimerExpired&, Effects& out) {
+void Lease::on(Time now, const TimerExpired&, Effects& effects) {
   timer_set_ = false;
   if ((state_ == State::active || state_ == State::holding) && now >= active_until())
-    deactivate(LogEvent::lapsed, "no renew confirmed within ttl - margin", State::lapsed, out);
+    deactivate(LogEvent::lapsed, "no renew confirmed within ttl - margin", State::lapsed, effects);
 }
 
 std::string Lease::fingerprint(Time now) const {
--- a/src/lease/lease_snapshot.hpp
+++ b/src/lease/lease_snapshot.hpp
@@ -1,4 +1,5 @@
-// A lease as bytes, for a process that takes over from another on the same machine: both read one clock.
+// Serialization of a lease for a process that takes over from another on the same machine: both read the same
+// clock.
 #pragma once
 
 #include "lease.hpp"
--- a/src/lease/write_result.hpp
+++ b/src/lease/write_result.hpp
@@ -1,4 +1,4 @@
-// What has become of a write on behalf of a role.
+// The result of a write on behalf of a role.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 enum class WriteResult : std::uint8_t {
   accepted,
-  refused,  // nothing of it took place: the role, or what was read before, has changed
-  unknown   // nobody knows
+  refused,  // had no effect: the role, or the state read before, has changed
+  unknown   // whether it was applied is not known
 };
 
 }  // namespace fennellane::lease
--- a/src/replica/message_copies.cpp
+++ b/src/replica/message_copies.cpp
@@ -17,15 +17,15 @@
 Digests compute_digests(const std::map<StreamId, Record>& held) {
   Digests digests{};
   for (const auto& [stream, record] : held) {
-    // What is so, not since when: an owner that has begun anew numbers its records anew. Whether the body is
-    // there is a part of it: a copy without one is of no use.
+    // The state without its version: an owner that has restarted numbers its records anew. The presence of
+    // the body is included: a copy without one cannot be used.
     const JournalEntry& e = record.entry;
     const std::uint64_t flags =
         (e.in_flight ? 1u : 0u) | (e.may_have_run ? 2u : 0u) | (record.has_body ? 4u : 0u);
-    const std::uint64_t one[] = {stream, e.attempts, flags,
-                                 e.verdict ? static_cast<std::uint64_t>(*e.verdict) : 0};
+    const std::uint64_t fields[] = {stream, e.attempts, flags,
+                                    e.verdict ? static_cast<std::uint64_t>(*e.verdict) : 0};
     std::uint64_t& digest = digests[range_of(stream)];
-    digest = XXH3_64bits_withSeed(one, sizeof one, digest);
+    digest = XXH3_64bits_withSeed(fields, sizeof fields, digest);
   }
   return digests;
 }
@@ -36,22 +36,23 @@
 }
 
 void MessageCopies::merge(const Record& record) {
-  const auto [it, fresh] = held_.try_emplace(record.stream, record);
-  if (fresh) {
+  const auto [it, added] = held_.try_emplace(record.stream, record);
+  if (added) {
     bytes_ += accounted_bytes(it->second);
   } else {
-    const std::size_t before = accounted_bytes(it->second);
+    const std::size_t old_bytes = accounted_bytes(it->second);
     join(it->second, record);
-    bytes_ += accounted_bytes(it->second) - before;
+    bytes_ += accounted_bytes(it->second) - old_bytes;
   }
-  // An end is final, and the owner tells nothing of the stream behind it on this way: nothing has to be kept.
+  // An end is final, and the owner sends no further record of the stream on this connection, so nothing
+  // has to be kept.
   if (it->second.ended) erase(it);
 }
 
 bool MessageCopies::apply(const Records& records) {
   if (records.up_to.token < position_.token) return false;
   for (const Record& record : records.records) {
-    // Guards against what comes twice: the stream may have ended since, and be forgotten.
+    // A record that arrives twice is skipped: its stream may have ended and been erased since.
     if (record.version > position_) merge(record);
   }
   position_ = std::max(position_, records.up_to);
@@ -60,16 +61,16 @@
 
 bool MessageCopies::apply(const Range& range, Version as_of) {
   if (as_of.token < position_.token) return false;
-  std::set<StreamId> named;
+  std::set<StreamId> listed;
   for (const Record& record : range.records) {
     if (range_of(record.stream) != range.range) return false;
-    named.insert(record.stream);
+    listed.insert(record.stream);
   }
   for (auto it = held_.begin(); it != held_.end();) {
-    const auto each = it++;
-    if (range_of(each->first) == range.range && named.count(each->first) == 0 &&
-        each->second.version <= as_of)
-      erase(each);
+    const auto entry = it++;
+    if (range_of(entry->first) == range.range && listed.count(entry->first) == 0 &&
+        entry->second.version <= as_of)
+      erase(entry);
   }
   for (const Record& record : range.records) merge(record);
   return true;
--- a/src/replica/messages.hpp
+++ b/src/replica/messages.hpp
@@ -1,17 +1,21 @@
-// What two relays say to each other about copies. The owner of messages connects to those that hold its
+// The messages between two relays about copies. The owner of messages connects to the relays that hold their
 // copies.
 //
-//   owner                                   holder
-//   Hello (its epoch)                    ->
-//                                        <- Welcome (what it has), or Refuse
-//   Records, from where it stands        ->
-//   or Digests, then Range for each that ->
-//   differs
-//                                        <- Confirm (up to where; and a promise), at once and each `beat`
-//   Beat, each `beat`                    ->
+// clang-format off
+//   owner                                    holder
+//   Hello (its epoch)                     ->
+//                                         <- HelloAccepted (the position of its copies), or HelloRefused
+//   Records, from that position on        ->
+//   or DigestsRequested                   ->
+//                                         <- DigestsReported
+//   and a Range for each that differs     ->
+//                                         <- Confirm (up to a version, with a promise), at once and with each
+//                                            heartbeat
+//   heartbeat, each heartbeat interval    ->
 //
-// One that has come back asks a relay that has taken its messages over:
-//   AskTaken                             -> <- Taken
+// A relay that has returned asks a relay that has taken its messages over:
+//   TakeoverQuery                         -> <- TakeoverReport
+// clang-format on
 #pragma once
 
 #include <array>
@@ -24,7 +28,7 @@
 
 namespace fennellane::replica {
 
-// Streams by their number fall into so many ranges, each with a digest of its own.
+// Streams are divided by their number into this many ranges, each with its own digest.
 inline constexpr std::size_t kRanges = 64;
 inline std::size_t range_of(StreamId stream) { return static_cast<std::size_t>(stream % kRanges); }
 using Digests = std::array<std::uint64_t, kRanges>;
@@ -35,31 +39,31 @@
 };
 struct HelloAccepted {
   std::string relay;
-  Version position;  // the newest of this owner's records, all before it included; 0.0: nothing
+  Version position;  // the newest of this owner's records, including all before it; 0.0: none
 };
-struct HelloRefused {  // no copy is kept for this owner
+struct HelloRefused {  // no copies are kept for this owner
   std::string reason;
 };
 struct Records {
-  Version up_to;  // with these, all up to here is known
+  Version up_to;  // after these, all records up to this version are known
   std::vector<Record> records;
-  std::uint64_t probe = 0;  // grows with each; a Confirm names the newest it has seen
+  std::uint64_t probe = 0;  // increases with each message; a Confirm names the newest one received
 };
-struct DigestsRequested {};  // from the owner: what does your copy look like?
+struct DigestsRequested {};  // sent by the owner
 struct DigestsReported {
   Digests digests{};
 };
-struct Range {  // all that the owner holds in this range; what is not in it has ended
+struct Range {  // all that the owner holds in this range; streams missing from it have ended
   std::uint32_t range = 0;
   std::vector<Record> records;
 };
 struct Confirm {
   Version up_to;
   std::uint64_t probe = 0;
-  // From hearing that probe on this relay does not take over for `promise`; 0: it promises nothing any more.
+  // From the receipt of that probe on, this relay does not take over for `promise`; 0: no promise.
   Time promise{};
 };
-struct TakeoverQuery {  // by one that has come back
+struct TakeoverQuery {  // sent by a relay that has returned
   std::string relay;
   Token epoch = 0;  // under which its messages were taken over
 };
--- a/src/replica/placement.hpp
+++ b/src/replica/placement.hpp
@@ -1,5 +1,5 @@
-// Which peers hold the copies of a relay's messages: rendezvous hashing, so that a peer that comes or goes
-// moves only the copies that it takes up or held. Without input, output or clock.
+// Chooses the peers that hold copies of a relay's messages by rendezvous hashing, so that a peer that joins
+// or leaves only moves the copies that it gains or held. Pure function: performs no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,15 @@
 
 struct Peer {
   std::string relay;
-  std::string zone;     // empty: not told
+  std::string zone;     // empty: unknown
   std::string address;  // numeric, host:port
   bool operator==(const Peer&) const = default;
 };
 
-// So many of `all`, the best first, none of them `relay` itself: of other zones than its own before those of
-// its own, since a zone may be lost as a whole, and each further zone before a second one of the same.
+// Up to `copies` of `peers`, the best first, excluding `relay` itself. Peers of other zones come before those
+// of its own, since a zone may be lost as a whole, and each further zone before a second peer of the same
+// zone.
 std::vector<Peer> choose_holders(const std::string& relay, const std::string& zone,
-                                 const std::vector<Peer>& all, std::size_t copies);
+                                 const std::vector<Peer>& peers, std::size_t copies);
 
 }  // namespace fennellane::replica
--- a/src/replica/record.cpp
+++ b/src/replica/record.cpp
@@ -6,17 +6,17 @@
 
 bool join(Record& known, const Record& other) {
   bool changed = false;
-  const auto keep_body = [](Record& to, Body body) {
-    to.entry.body = std::move(body);
-    to.has_body = true;
+  const auto set_body = [](Record& record, Body body) {
+    record.entry.body = std::move(body);
+    record.has_body = true;
   };
   if (known.ended || (!other.ended && other.version <= known.version)) {
-    // Older, or of no more account; only a body may be news.
+    // Older, or after the end; only a body can be new.
     if (!known.ended && !known.has_body && other.has_body && !other.ended) {
-      keep_body(known, other.entry.body);
+      set_body(known, other.entry.body);
       changed = true;
     }
-    // Guards the order of ends among copies: the highest version that told one.
+    // Keep the highest version of an end, so that all copies order ends alike.
     if (known.ended && other.ended && other.version > known.version) known.version = other.version;
     return changed;
   }
@@ -27,7 +27,7 @@
     known.entry.body = JournalEntry().body;
     known.has_body = false;
   } else if (!known.has_body && had_body) {
-    keep_body(known, body);
+    set_body(known, body);
   }
   return true;
 }
--- a/src/replica/record.hpp
+++ b/src/replica/record.hpp
@@ -1,5 +1,5 @@
-// One message's state as it is copied to peers, and the rule for copies that differ. Values, without input,
-// output or clock. See docs/replication.md.
+// The state of one message as copied to peers, and the rule for merging different copies. Pure values: no I/O
+// and no clock. See docs/replication.md.
 #pragma once
 
 #include <cstdint>
@@ -14,35 +14,35 @@
 
 using lease::Time;
 using lease::Token;
-using Sequence = std::uint64_t;  // of an owner's records, from 1 on under each of its tokens
+using Sequence = std::uint64_t;  // of an owner's records, starting at 1 under each of its tokens
 
-// Which of two records is newer: first by the token of the owner that wrote it, then by its sequence.
+// Orders records by age: first by the token of the owner that wrote it, then by sequence.
 struct Version {
   Token token = 0;
   Sequence sequence = 0;
   auto operator<=>(const Version&) const = default;
 };
 
-// What is copied of a message, whole with each record but for its body, which never changes: a record that is
-// lost, comes twice or late does no harm to what a later one says.
+// The copied state of a message. Each record contains all of it except the body, which never changes, so a
+// lost, duplicate or late record does not affect later ones.
 struct Record {
-  StreamId stream = 0;  // of the relay that took it on, whoever owns it now
+  StreamId stream = 0;  // numbered by the relay that accepted it, whichever relay owns it now
   Version version;
   bool ended = false;
-  JournalEntry entry;     // without a body where `has_body` is not set
-  bool has_body = false;  // of the record that tells of the taking on, and of a catch-up
+  JournalEntry entry;     // without a body unless `has_body`
+  bool has_body = false;  // set in the record of the acceptance and in a catch-up
 };
 
-// The rule, a join: it does not matter in which order, how often or by which way records come.
-// - An end is final: it beats whatever else is told of the message, at any version.
-// - Else the higher version says what is so.
-// - A body that one of them has is kept.
+// The merge rule, a join: the order, number and path of records do not matter.
+// - An end is final: it wins over any other record of the message, at any version.
+// - Otherwise the higher version wins.
+// - A body that either of them has is kept.
 // - Of two ends, or two records of one version, the second changes nothing.
 // Returns whether `known` has changed.
 bool join(Record& known, const Record& other);
 
-// What a relay that takes over makes of a message: an attempt that was out may have run. Nothing: it has
-// ended, or has no body.
+// The entry with which a relay takes over a message: an attempt in flight may have run. Nothing if it has
+// ended or has no body.
 std::optional<JournalEntry> entry_for_takeover(const Record& record);
 
 }  // namespace fennellane::replica
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,4 +1,4 @@
-// The lease's decisions, without Consul: each test plays the answers that Consul would give.
+// Tests of the lease without Consul: each test supplies Consul's answers.
 #include "lease.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using std::chrono::seconds;
 
-Timing short_timing() {  // the model's, in seconds
+Timing short_timing() {  // the timing of the model, in seconds
   Timing t;
   t.ttl = seconds(5);
   t.renew_every = seconds(2);
@@ -31,10 +31,11 @@
   return nullptr;
 }
 
-// Wanted, a session made at 0 and the lock granted: the state from which the tests below go on.
-Lease holding(const Timing& timing) {
+// A lease that seeks the role, with a session created at 0 and the lock granted: the starting state of most
+// tests.
+Lease lease_with_lock(const Timing& timing) {
   Lease lease(timing);
-  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(0), AcquireRole{})), nullptr);  // the key first
+  EXPECT_EQ(find<CreateSession>(lease.handle(seconds(0), AcquireRole{})), nullptr);  // the key is read first
   EXPECT_NE(find<CreateSession>(lease.handle(seconds(0), KeyRead{"", 0, 1})), nullptr);
   EXPECT_NE(find<AcquireLock>(lease.handle(seconds(0), SessionCreated{"s1", seconds(0)})), nullptr);
   lease.handle(seconds(1), AcquireAnswered{true, seconds(0)});
@@ -42,8 +43,8 @@
   return lease;
 }
 
-TEST(Lease, ActsOnlyOnceTheTokenIsKnown) {
-  Lease lease = holding(short_timing());
+TEST(Lease, BecomesActiveOnlyOnceTheTokenIsKnown) {
+  Lease lease = lease_with_lock(short_timing());
   EXPECT_FALSE(lease.may_act(seconds(1)));
   const auto effects = lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   ASSERT_NE(find<LeaseActive>(effects), nullptr);
@@ -52,20 +53,20 @@
   EXPECT_EQ(lease.token(), 7u);
 }
 
-TEST(Lease, StopsWhereNoRenewIsConfirmedBeforeTheMargin) {
-  Lease lease = holding(short_timing());
+TEST(Lease, LapsesIfNoRenewIsConfirmedBeforeTheMargin) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   EXPECT_NE(find<RenewSession>(lease.handle(seconds(2), TimerExpired{})), nullptr);
   lease.handle(seconds(3), CallFailed{});
   EXPECT_TRUE(lease.may_act(seconds(3)));
-  // Acting ends at ttl - margin from the send of the session's create, 4 s.
+  // The lease ends `ttl - margin` after the send of the session's create, at 4 s.
   EXPECT_FALSE(lease.may_act(seconds(4)));
   EXPECT_NE(find<LeaseInactive>(lease.handle(seconds(4), TimerExpired{})), nullptr);
   EXPECT_EQ(lease.state(), Lease::State::lapsed);
 }
 
 TEST(Lease, MeasuresFromTheSendOfTheRenewNotItsAnswer) {
-  Lease lease = holding(short_timing());
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   lease.handle(seconds(2), TimerExpired{});
   lease.handle(seconds(3), RenewAnswered{true, seconds(2)});  // sent at 2, answered at 3
@@ -73,11 +74,12 @@
   EXPECT_FALSE(lease.may_act(seconds(6)));  // 2 + 5 - 1
 }
 
-// Found by the model: the key was first heard after the lease had lapsed, and a renew then came back.
-TEST(Lease, TakesTheTokenFromTheKeyWhenARenewEndsALapse) {
-  Lease lease = holding(short_timing());
+// Found by the model checker: the key was first read after the lease had lapsed, and then a renew was
+// answered.
+TEST(Lease, ReadsTheTokenFromTheKeyWhenARenewEndsALapse) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(2), TimerExpired{});       // the renew is sent
-  lease.handle(seconds(4), KeyRead{"s1", 1, 2});  // at the end of acting: lapsed, not acting
+  lease.handle(seconds(4), KeyRead{"s1", 1, 2});  // at the end of the lease: lapsed, not active
   EXPECT_EQ(lease.state(), Lease::State::lapsed);
   const auto effects = lease.handle(seconds(4), RenewAnswered{true, seconds(3)});
   ASSERT_NE(find<LeaseActive>(effects), nullptr);
@@ -85,13 +87,13 @@
   EXPECT_EQ(lease.token(), 1u);
 }
 
-TEST(Lease, StopsAtOnceWhereTheKeyNamesAnotherHolder) {
-  Lease lease = holding(short_timing());
+TEST(Lease, StopsAtOnceIfTheKeyNamesAnotherHolder) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   const auto effects = lease.handle(seconds(1), KeyRead{"s2", 8, 21});
   EXPECT_NE(find<LeaseInactive>(effects), nullptr);
   EXPECT_FALSE(lease.may_act(seconds(1)));
-  // A held key is waited for on the blocking read, without a session.
+  // For a held key the lease waits on the blocking read, without a session.
   ASSERT_NE(find<ReleaseSession>(effects), nullptr);
   EXPECT_FALSE(find<ReleaseSession>(effects)->holds_lock);
   lease.handle(seconds(2), SessionReleased{});
@@ -100,77 +102,77 @@
   EXPECT_NE(find<CreateSession>(lease.handle(seconds(9), KeyRead{"", 8, 22})), nullptr);
 }
 
-// Three hundred relays that wait for one role must not all ask for it in one moment, nor keep sessions.
-TEST(Lease, SpreadsTheTriesOfThoseThatWaitAndLetsTheLateOnesSeeItHeld) {
+// Three hundred relays waiting for one role must not all try at the same moment, nor keep sessions.
+TEST(Lease, SpreadsAttemptsAndCancelsThoseThatSeeTheKeyHeld) {
   Timing timing = short_timing();
   timing.spread = seconds(10);
-  std::vector<Time> tries;
+  std::vector<Time> attempts;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Lease lease(timing, seed * 1000);
     lease.handle(seconds(0), AcquireRole{});
     const auto effects = lease.handle(seconds(0), KeyRead{"", 4, 9});
     EXPECT_EQ(find<CreateSession>(effects), nullptr);
     ASSERT_NE(find<SetTimer>(effects), nullptr);
-    tries.push_back(find<SetTimer>(effects)->at);
+    attempts.push_back(find<SetTimer>(effects)->at);
     lease.handle(seconds(0), KeyRead{"other", 5, 10});
-    EXPECT_EQ(find<CreateSession>(lease.handle(tries.back(), TimerExpired{})), nullptr);
+    EXPECT_EQ(find<CreateSession>(lease.handle(attempts.back(), TimerExpired{})), nullptr);
     EXPECT_EQ(lease.state(), Lease::State::waiting);
   }
-  std::sort(tries.begin(), tries.end());
-  EXPECT_LT(tries.front(), seconds(1));
-  EXPECT_GT(tries.back(), seconds(9));
-  EXPECT_GT(tries[150], seconds(3));
-  EXPECT_LT(tries[150], seconds(7));
+  std::sort(attempts.begin(), attempts.end());
+  EXPECT_LT(attempts.front(), seconds(1));
+  EXPECT_GT(attempts.back(), seconds(9));
+  EXPECT_GT(attempts[150], seconds(3));
+  EXPECT_LT(attempts[150], seconds(7));
 }
 
-// After a Consul that has lost its state, indexes begin anew below those that were seen.
-TEST(Lease, TakesAnAnswerOfACountThatHasBegunAnew) {
-  Lease lease = holding(short_timing());
+// After Consul lost its state, indexes restart below those already seen.
+TEST(Lease, AcceptsALowerIndexAfterAnIndexReset) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
-  lease.handle(seconds(1), KeyRead{"", 0, 3});  // an old answer, for all that is known
+  lease.handle(seconds(1), KeyRead{"", 0, 3});  // indistinguishable from an old answer
   EXPECT_TRUE(lease.may_act(seconds(1)));
   EXPECT_NE(find<LeaseInactive>(lease.handle(seconds(1), KeyRead{"", 0, 3, true})), nullptr);
   EXPECT_FALSE(lease.may_act(seconds(1)));
 }
 
-// Seen in the model's walks: an answer read before the acquire and heard after it named the key free.
-TEST(Lease, KeepsALockThatAnAnswerFromBeforeItsAcquireCallsFree) {
-  Lease lease = holding(short_timing());  // the key was read free at index 1, then acquired
+// Found by the model checker: an answer read before the acquire and received after it showed the key as free.
+TEST(Lease, KeepsTheLockAfterAnAnswerFromBeforeTheAcquire) {
+  Lease lease = lease_with_lock(short_timing());  // the key was read as free at index 1, then acquired
   lease.handle(seconds(1), KeyRead{"", 0, 1});
   EXPECT_EQ(lease.state(), Lease::State::holding);
   EXPECT_NE(find<LeaseActive>(lease.handle(seconds(1), KeyRead{"s1", 7, 2})), nullptr);
 }
 
-TEST(Lease, DropsAnOlderAnswerOfTheBlockingRead) {
-  Lease lease = holding(short_timing());
+TEST(Lease, IgnoresAnOlderAnswerOfTheBlockingRead) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   lease.handle(seconds(1), KeyRead{"s2", 6, 19});
   EXPECT_TRUE(lease.may_act(seconds(1)));
 }
 
-TEST(Lease, TakesALockWhoseAnswerWasLostFromTheKey) {
+TEST(Lease, RecognizesALockWhoseAcquireAnswerWasLost) {
   Lease lease(short_timing());
   lease.handle(seconds(0), AcquireRole{});
   lease.handle(seconds(0), KeyRead{"", 0, 1});
   lease.handle(seconds(0), SessionCreated{"s1", seconds(0)});
-  lease.handle(seconds(2), CallFailed{});  // the acquire's answer was lost; Consul took it
+  lease.handle(seconds(2), CallFailed{});  // the answer to a successful acquire was lost
   EXPECT_NE(find<LeaseActive>(lease.handle(seconds(2), KeyRead{"s1", 3, 9})), nullptr);
 }
 
-TEST(Lease, MakesANewSessionWhereTheOldOneIsGone) {
-  Lease lease = holding(short_timing());
+TEST(Lease, CreatesANewSessionAfterTheOldOneWasInvalidated) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   lease.handle(seconds(2), TimerExpired{});
   const auto effects = lease.handle(seconds(3), RenewAnswered{false, seconds(2)});
   EXPECT_NE(find<LeaseInactive>(effects), nullptr);
   EXPECT_TRUE(lease.session().empty());
-  // The key still names the old session: only once Consul has let go of it is a new one of use.
+  // The key still names the old session: a new one is only useful once Consul has released the lock.
   EXPECT_EQ(find<CreateSession>(effects), nullptr);
   EXPECT_NE(find<CreateSession>(lease.handle(seconds(3), KeyRead{"", 7, 21})), nullptr);
 }
 
-TEST(Lease, GivesUpByReleaseAndDestroy) {
-  Lease lease = holding(short_timing());
+TEST(Lease, ResignsByReleaseAndDestroy) {
+  Lease lease = lease_with_lock(short_timing());
   lease.handle(seconds(1), KeyRead{"s1", 7, 20});
   const auto effects = lease.handle(seconds(1), ResignRole{});
   EXPECT_NE(find<LeaseInactive>(effects), nullptr);
@@ -180,8 +182,8 @@
   EXPECT_EQ(lease.state(), Lease::State::off);
 }
 
-// Found with several relays: one that gave the role up, as it was of no use there, had it back each time.
-TEST(Lease, ComesBehindThoseWhoWaitAfterItHasGivenTheRoleUp) {
+// A relay that resigned the role, having no use for it, must not get it back each time before the others.
+TEST(Lease, WaitsLongerThanOthersAfterResigning) {
   Timing timing = short_timing();
   timing.spread = seconds(10);
   Lease lease(timing);
@@ -199,9 +201,9 @@
   EXPECT_NE(find<CreateSession>(lease.handle(seconds(22), TimerExpired{})), nullptr);
 }
 
-// Found with 300 relays: while the lock-delay ran the key looked free, and all who waited made sessions and
-// were refused, some more than once.
-TEST(Lease, SitsOutTheLockDelayOfALockThatLapsed) {
+// While the lock-delay runs the key looks free; with 300 relays, all that waited created sessions and were
+// refused, some repeatedly.
+TEST(Lease, WaitsForTheLockDelayOfAnExpiredLock) {
   Timing timing = short_timing();
   timing.lock_delay = seconds(6);
   timing.spread = Time::zero();
@@ -211,7 +213,7 @@
   EXPECT_EQ(find<CreateSession>(lease.handle(seconds(10), KeyRead{"", 4, 10, false, true})), nullptr);
   EXPECT_EQ(find<CreateSession>(lease.handle(seconds(15), TimerExpired{})), nullptr);
   EXPECT_NE(find<CreateSession>(lease.handle(seconds(16), TimerExpired{})), nullptr);
-  // One that was released is tried at once, and one read anew as it was is not waited for again.
+  // A released lock is tried at once, and rereading an unchanged key does not restart the wait.
   Lease second(timing);
   second.handle(seconds(0), AcquireRole{});
   second.handle(seconds(0), KeyRead{"other", 4, 9});
@@ -223,7 +225,7 @@
   EXPECT_NE(find<CreateSession>(third.handle(seconds(6), TimerExpired{})), nullptr);
 }
 
-TEST(Lease, RefusesATimingWhoseRenewCannotComeBackBeforeActingEnds) {
+TEST(Lease, RejectsATimingWithoutTimeForARenew) {
   EXPECT_EQ(timing_problem(Timing{}), "");
   Timing t;
   t.renew_every = seconds(12);
@@ -236,7 +238,7 @@
 namespace fennellane::lease {
 namespace {
 
-// The model's walks: the lease keeps the three rules, and the two planted bugs are found.
+// Random walks of the model: the lease keeps the three rules, and the two seeded bugs are found.
 LeaseModelBounds walks(std::size_t count) {
   LeaseModelBounds b;
   b.ticks = 40;
@@ -257,7 +259,7 @@
   EXPECT_GT(result.acts, 1000u);
 }
 
-TEST(LeaseModel, FindsAWriteOfAnOldOwnerWhereNothingIsFenced) {
+TEST(LeaseModel, FindsAnUnfencedWriteOfAnOldOwner) {
   LeaseModelBounds b = walks(60000);
   b.fence = false;
   EXPECT_EQ(explore(b).broken, "a write was taken from a session that does not hold the lock");
