--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -263,7 +263,8 @@
 
 void Journal::claim(Generation generation) {
   if (owned_) throw JournalError("the journal is already owned");
-  // The known state must match the file; otherwise this process was frozen while another one wrote.
+  // The known state must be as recent as the file: the previous owner must not have written since it was
+  // taken.
   const std::uint64_t known_size = size_;
   const Generation previous = generation_;
   if (file_replaced()) throw JournalError("the journal has been changed since");
